--- a/include/gypsumdale/entry/entry_duties.hpp
+++ b/include/gypsumdale/entry/entry_duties.hpp
@@ -48,7 +48,7 @@
     void noteHolding();
 
     void reportDueWindows();
-    UsageWindows::Look look();
+    UsageWindows::FleetObservation look();
     bool loadLedger();
     void storeLedger(UsageLedger next);
     bool sendWindow(const UsageReport &report);
--- a/include/gypsumdale/entry/entry_traffic.hpp
+++ b/include/gypsumdale/entry/entry_traffic.hpp
@@ -34,15 +34,15 @@
 /// What the control thread takes from the traffic thread for an exchange with the peers.
 struct TrafficReport
 {
-    std::map<AccountId, ReportedUse> m_accounts;
+    std::map<AccountId, ReportedUsage> m_accounts;
     std::map<UpstreamId, InFlightLoad> m_loads;
     std::map<WindowNumber, WindowCounts> m_usage;
-    std::vector<EndedUsage> m_endedUsage;
+    std::vector<EndedProcessUsage> m_endedUsage;
     /// Requests in flight at each service over all VMs.
     std::map<ServiceId, double> m_running;
     /// Reading rates as this VM sees them, and over the fleet.
-    std::map<ServiceId, ReadingRate> m_ownReading;
-    std::map<ServiceId, ReadingRate> m_fleetReading;
+    std::map<ServiceId, PrefillRate> m_ownReading;
+    std::map<ServiceId, PrefillRate> m_fleetReading;
     WallMillis m_wall = 0;
 };
 
@@ -51,12 +51,12 @@
 {
     std::string m_node;
     std::int64_t m_incarnation = 0;
-    std::map<AccountId, ReportedUse> m_accounts;
+    std::map<AccountId, ReportedUsage> m_accounts;
     std::map<UpstreamId, InFlightLoad> m_loads;
     std::map<WindowNumber, WindowCounts> m_usage;
     /// What it knows of processes that tell of their counts no longer.
-    std::vector<EndedUsage> m_endedUsage;
-    std::map<ServiceId, ReadingRate> m_reading;
+    std::vector<EndedProcessUsage> m_endedUsage;
+    std::map<ServiceId, PrefillRate> m_reading;
     /// Its wall time less this VM's, as of the report.
     WallMillis m_wallOffset = 0;
 };
@@ -113,7 +113,7 @@
     bool isWorthWaiting() const { return m_firstKnowledge.isWorthWaiting(now()); }
     void setUpstreams(const std::map<UpstreamId, UpstreamRecord> &upstreams, std::int64_t revision);
     /// Takes in what is known of the age of the list in use, and for how long a list holds.
-    void setListStanding(const ListStanding &list, const PlacementTerm &term);
+    void setListStanding(const ListConfirmation &list, const PlacementDeadline &term);
     Duration listAge() const { return now() - m_list.m_confirmedAt; }
     /// Returns until when a request placed now may reach its upstream, or nothing where the list is
     /// too old to place by. Constant.
@@ -134,19 +134,20 @@
     {
         m_pool.setPeerLoadAt(node, upstream, load, now());
     }
-    void forgetPeer(const std::string &node);
+    void removePeer(const std::string &node);
     /// Called with the load of an upstream that has just got a prompt that peers hear of at once.
     using LongPromptPlaced = std::function<void(const UpstreamId &, InFlightLoad)>;
     void onLongPromptPlaced(LongPromptPlaced placed) { m_longPromptPlaced = std::move(placed); }
     /// Notes that a request was placed, and tells the peers of it if they are to hear at once.
-    void notePlaced(const PooledUpstream &upstream, std::int64_t ownTokens, bool isTold);
+    void recordPlacement(const PooledUpstream &upstream, std::int64_t ownTokens,
+                         bool shouldAnnounce);
     /// Notes a prompt that is about to be placed and tells whether peers are to hear of it at once.
-    bool isTold(const ServiceId &service, std::int64_t ownTokens);
+    bool shouldAnnounce(const ServiceId &service, std::int64_t ownTokens);
     /// Takes in by how much exchanges with peers are spread out.
-    void setExchangePace(int stretch)
+    void setExchangeStretch(int stretch)
     {
-        m_quota.setExchangePace(stretch);
-        m_pool.setExchangePace(stretch);
+        m_quota.setExchangeStretch(stretch);
+        m_pool.setExchangeStretch(stretch);
         m_isSpreadOut = stretch > 1;
     }
     /// Takes in how many VMs the fleet has, and how many it should have as long as this process has
@@ -155,7 +156,7 @@
     {
         m_allowance.setFleetSize(nodes);
         m_promptNews.setFleet(nodes, m_isSpreadOut);
-        m_quota.setExpectedFleet(expected);
+        m_quota.setExpectedFleetSize(expected);
     }
     /// Returns what to tell the peers. Linear in accounts and upstreams.
     TrafficReport report();
@@ -164,13 +165,13 @@
 
     const ServingViewPointer &view() const { return m_view; }
     UpstreamPool &pool() { return m_pool; }
-    FleetReading &reading() { return m_reading; }
+    FleetPrefillRates &reading() { return m_reading; }
     FirstEventForecaster &forecaster() { return m_forecaster; }
     /// Returns the prompt tokens that an engine of a service reads in a time; 0 while its speed
     /// isn't known.
     double tokensWithin(const ServiceId &service, Duration time) const;
     FleetQuota &quota() { return m_quota; }
-    RepeatAllowance &allowance() { return m_allowance; }
+    RetryBudgetShare &allowance() { return m_allowance; }
     RunMover &mover() { return *m_mover; }
     UpstreamClient &client() { return m_client; }
     Logger &log() { return m_log; }
@@ -195,16 +196,16 @@
     UpstreamPool m_pool;
     HighestValue m_placementListAge;
     /// A list that was never confirmed can't be waited for: without it nobody would be served.
-    ListStanding m_list{TimePoint{}, true};
-    PlacementTerm m_term;
-    FleetReading m_reading;
-    PromptNews m_promptNews;
+    ListConfirmation m_list{TimePoint{}, true};
+    PlacementDeadline m_term;
+    FleetPrefillRates m_reading;
+    PromptAnnouncer m_promptNews;
     bool m_isSpreadOut = false;
     FirstEventForecaster m_forecaster;
     /// As of the last report.
-    std::map<ServiceId, ReadingRate> m_fleetReading;
+    std::map<ServiceId, PrefillRate> m_fleetReading;
     FleetQuota m_quota;
-    RepeatAllowance m_allowance;
+    RetryBudgetShare m_allowance;
     UsageCounts m_usage;
     std::unique_ptr<RunMover> m_mover;
     std::set<EntryCall *> m_calls;
--- a/include/gypsumdale/entry/entry_upstream_feed.hpp
+++ b/include/gypsumdale/entry/entry_upstream_feed.hpp
@@ -33,9 +33,9 @@
     void setRole(StoreRole role) { m_following.setRole(role); }
     /// Takes what a reader of this data centre tells. Returns false if this VM lacks more than
     /// that.
-    bool takeNews(const UpstreamNews &news, ToldAge age, std::string_view reader);
+    bool takeNews(const UpstreamListUpdate &news, ToldAge age, std::string_view reader);
     /// Returns what a follower lacks.
-    UpstreamNews newsFor(const FollowerState &follower) const;
+    UpstreamListUpdate updateFor(const FollowerState &follower) const;
     std::int64_t newestChange() const { return feed().history().newest(); }
     TimePoint readAt() const { return m_following.readAt(); }
 
--- a/include/gypsumdale/entry/news_pace.hpp
+++ b/include/gypsumdale/entry/news_pace.hpp
@@ -66,7 +66,7 @@
         m_until = now + m_next;
         m_next = std::min(2 * m_next, longestPause);
     }
-    void onTaken() { *this = ReceiptPause(); }
+    void onApplied() { *this = ReceiptPause(); }
 
 private:
     TimePoint m_until{};
--- a/include/gypsumdale/entry/peer_wire.hpp
+++ b/include/gypsumdale/entry/peer_wire.hpp
@@ -22,7 +22,7 @@
 void fillReport(const TrafficReport &report, entrywire::EntryDigest &digest);
 
 /// Writes down what processes counted that ended, but not what the receiver counted itself.
-void fillEnded(const std::vector<EndedUsage> &ended, const std::string &receiver,
+void fillEnded(const std::vector<EndedProcessUsage> &ended, const std::string &receiver,
                entrywire::EntryDigest &digest);
 
 /// Reads what a peer reported; its wall time is compared with this VM's.
--- a/include/gypsumdale/entry/upstream_following.hpp
+++ b/include/gypsumdale/entry/upstream_following.hpp
@@ -71,7 +71,8 @@
     /// taken. Linear.
     bool takeFromPeer(UpstreamList list, const ToldAge &age, TimePoint now);
     /// Takes what a reader of this data centre tells. Linear.
-    UpstreamFeed::Taking takeNews(const UpstreamNews &news, const ToldAge &age, TimePoint now);
+    UpstreamFeed::ApplyResult takeNews(const UpstreamListUpdate &news, const ToldAge &age,
+                                       TimePoint now);
 
     /// Drops entries whose time to come back is over. Returns true if any was. Linear.
     bool expire(TimePoint now) { return m_feed.expire(now); }
@@ -80,7 +81,7 @@
     /// A moment at which the store surely had nothing that the list lacks.
     TimePoint confirmedAt() const { return m_confirmation.at(); }
     /// What a placement may go by.
-    ListStanding standing() const
+    ListConfirmation standing() const
     {
         // A store that has dropped the history has answered: there is a newer list to be had.
         return {m_confirmation.at(), m_isStoreLost && !m_isHistoryGone};
--- a/include/gypsumdale/ledger/order_lease.hpp
+++ b/include/gypsumdale/ledger/order_lease.hpp
@@ -68,7 +68,7 @@
     /// Unique for each life of a process.
     std::string m_holder;
     Duration m_duration = std::chrono::seconds(10);
-    Duration m_renewEvery = std::chrono::seconds(3);
+    Duration m_renewInterval = std::chrono::seconds(3);
     /// The holder stops this long before the lease's end: for an order on its way and for clocks
     /// that run at different rates.
     Duration m_margin = std::chrono::seconds(2);
@@ -165,7 +165,7 @@
 
     OrderLeaseBuilder &renewEvery(Duration value)
     {
-        m_settings.m_renewEvery = value;
+        m_settings.m_renewInterval = value;
         return *this;
     }
 
--- a/include/gypsumdale/serving/duty_lease.hpp
+++ b/include/gypsumdale/serving/duty_lease.hpp
@@ -26,9 +26,9 @@
     Duration m_term = std::chrono::milliseconds(3000);
     /// Kept free at the end of a term for a call that is under way.
     Duration m_margin = std::chrono::milliseconds(800);
-    Duration m_renewEvery = std::chrono::milliseconds(1000);
+    Duration m_renewInterval = std::chrono::milliseconds(1000);
     /// Beyond the term, before an unchanged lease is taken over.
-    Duration m_patience = std::chrono::milliseconds(400);
+    Duration m_takeoverDelay = std::chrono::milliseconds(400);
 };
 
 /// Read the lease from the store.
@@ -40,9 +40,9 @@
     LeaseRecord m_record;
 };
 /// Nothing to do now.
-struct LeaveLease
+struct NoLeaseAction
 {};
-using LeaseStep = std::variant<LeaveLease, ReadLease, WriteLease>;
+using LeaseAction = std::variant<NoLeaseAction, ReadLease, WriteLease>;
 
 /// Decides who does the fleet's duties: one VM at a time, by a conditional update of one object.
 ///
@@ -57,7 +57,7 @@
     DutyLease(DutyLeaseSettings settings, NodeId self, std::int64_t incarnation);
 
     /// Returns what to do next. Constant.
-    LeaseStep next(TimePoint now);
+    LeaseAction next(TimePoint now);
 
     /// Takes in the lease as read, or nothing if the store has none. The time is that of the
     /// read's sending. Constant.
@@ -71,7 +71,7 @@
 
     /// Takes in what a peer says of the lease it holds: the term of others runs from its renewals
     /// as they are heard, and the store need not be read while they come.
-    void onHolderHeard(std::int64_t fence, std::int64_t revision, TimePoint now);
+    void onHolderReport(std::int64_t fence, std::int64_t revision, TimePoint now);
 
     /// Takes in that a call was refused as another had a higher fencing number.
     void onFenced();
--- a/include/gypsumdale/serving/first_event_forecast.hpp
+++ b/include/gypsumdale/serving/first_event_forecast.hpp
@@ -34,7 +34,7 @@
 };
 
 /// What the time to come back depends on, beside the forecast.
-struct RoomTerms
+struct CapacityTimeInputs
 {
     Duration m_latencyTarget{};
     /// How long an engine that is ordered takes to boot; nothing where none can be ordered.
@@ -51,8 +51,8 @@
 {
 public:
     /// Notes a request that was placed. Constant, amortised.
-    void notePlaced(const ServiceId &service, int priority, std::int64_t promptTokens,
-                    std::int64_t ownTokens, TimePoint now);
+    void recordPlacement(const ServiceId &service, int priority, std::int64_t promptTokens,
+                         std::int64_t ownTokens, TimePoint now);
 
     /// Returns the forecast, or nothing where too little is known: no speed was seen, reports are
     /// old, few requests were placed, or no engine is in reach. Linear in the upstreams.
@@ -65,8 +65,8 @@
     /// Returns how long it takes until a request would begin within its latency target again: what
     /// waits has been read by then, or engines that were ordered have booted. `draw` is a number
     /// from 0 to 1 that spreads those who come back. Constant.
-    static Duration untilRoom(const FirstEventForecast &forecast, const RoomTerms &terms,
-                              double draw);
+    static Duration timeUntilCapacity(const FirstEventForecast &forecast,
+                                      const CapacityTimeInputs &terms, double draw);
 
 private:
     /// The mix is taken from this: long enough for a few dozen requests of one VM, short enough to
--- a/include/gypsumdale/serving/fleet_quota.hpp
+++ b/include/gypsumdale/serving/fleet_quota.hpp
@@ -21,18 +21,18 @@
     double m_overage = 0.1;
     double m_slack = 0;
     /// A report older than this is no word of its VM: three exchanges were lost.
-    Duration m_peerSilence = std::chrono::milliseconds(800);
+    Duration m_peerSilenceTimeout = std::chrono::milliseconds(800);
     /// How often a pair of VMs exchanges reports in a small fleet.
-    Duration m_exchangePace = std::chrono::milliseconds(250);
+    Duration m_exchangeInterval = std::chrono::milliseconds(250);
     /// A silent VM's part is given back after this; by then it has been replaced.
-    Duration m_peerForgotten = std::chrono::seconds(20);
+    Duration m_peerRemovalTimeout = std::chrono::seconds(20);
     /// When the process started, if its VM had started before: the use before that is unknown, and
     /// the buckets were empty at that moment.
     std::optional<TimePoint> m_restartedAt;
 };
 
 /// Use of one account as another VM reported it.
-struct ReportedUse
+struct ReportedUsage
 {
     /// Everything admitted since the VM's start, in the quota's unit.
     double m_admittedTotal = 0;
@@ -88,18 +88,19 @@
     QuotaDecision admit(const ClientAccount &account, double cost, TimePoint now);
 
     /// Replaces what one other VM reported. Linear in its accounts.
-    void setPeerUse(const std::string &node, std::map<AccountId, ReportedUse> uses, TimePoint now);
+    void setPeerUsage(const std::string &node, std::map<AccountId, ReportedUsage> uses,
+                      TimePoint now);
 
     /// Takes in by how much exchanges are spread out in a large fleet: silence is judged by it, and
     /// more is kept for what is admitted between two of them. 1 in a small fleet.
-    void setExchangePace(int stretch) { m_stretch = stretch; }
+    void setExchangeStretch(int stretch) { m_stretch = stretch; }
 
     /// Says how many VMs the fleet has by the registry, for a process that has not heard them yet;
     /// 0 once it had the time to.
-    void setExpectedFleet(std::size_t nodes) { m_expectedNodes = nodes; }
+    void setExpectedFleetSize(std::size_t nodes) { m_expectedNodes = nodes; }
 
     /// Returns the own use to report. Linear in the accounts.
-    std::map<AccountId, ReportedUse> ownUse(TimePoint now);
+    std::map<AccountId, ReportedUsage> localUsage(TimePoint now);
 
 private:
     struct Bucket
@@ -118,7 +119,7 @@
     };
     struct Peer
     {
-        std::map<AccountId, ReportedUse> m_uses;
+        std::map<AccountId, ReportedUsage> m_uses;
         TimePoint m_heardAt{};
     };
     /// What the fleet looks like from here.
@@ -148,7 +149,7 @@
     /// as silent until the next, which refuses a little.
     Duration silenceLimit() const
     {
-        return m_settings.m_peerSilence + m_settings.m_exchangePace * (m_stretch - 1);
+        return m_settings.m_peerSilenceTimeout + m_settings.m_exchangeInterval * (m_stretch - 1);
     }
 
     FleetQuotaSettings m_settings;
--- a/include/gypsumdale/serving/placement_term.hpp
+++ b/include/gypsumdale/serving/placement_term.hpp
@@ -9,7 +9,7 @@
 namespace gypsumdale {
 
 /// What a VM knows of the age of its list of upstreams.
-struct ListStanding
+struct ListConfirmation
 {
     /// A moment at which the store surely had nothing that the list lacks.
     TimePoint m_confirmedAt{};
@@ -24,44 +24,44 @@
 /// store had when it confirmed the list is known; what came since is not. So a placement holds for
 /// that time from the confirmation on, wherever the request is by then: still to be connected, in
 /// the send buffer or on a path that has fallen silent.
-class PlacementTerm
+class PlacementDeadline
 {
 public:
     /// For bytes that have left this VM when the term ends, and can't be taken back, and for a way
     /// that gets longer after the connection.
-    static constexpr Duration wayReserve = std::chrono::milliseconds(200);
+    static constexpr Duration deliveryMargin = std::chrono::milliseconds(200);
     /// Of a list that can't be had any newer: long enough for a connection and a request.
-    static constexpr Duration unconfirmableTerm = std::chrono::milliseconds(500);
+    static constexpr Duration unconfirmableTimeout = std::chrono::milliseconds(500);
 
     /// Takes the time after which a leaving upstream must be left alone.
-    explicit PlacementTerm(Duration leavingApply)
+    explicit PlacementDeadline(Duration leavingApply)
         : m_leavingApply(leavingApply)
     {}
 
     /// Returns until when a request placed now may arrive, or nothing where the list is too old to
     /// place by it and a newer one is to be had. Constant.
-    std::optional<TimePoint> until(const ListStanding &list, TimePoint now) const
+    std::optional<TimePoint> until(const ListConfirmation &list, TimePoint now) const
     {
-        const TimePoint holds = holdsUntil(list.m_confirmedAt);
+        const TimePoint holds = deliveryDeadline(list.m_confirmedAt);
         if (now < holds)
             return holds;
         if (list.m_isUnconfirmable)
-            return now + unconfirmableTerm;
+            return now + unconfirmableTimeout;
         return std::nullopt;
     }
 
     /// Returns until when a request that was placed earlier may arrive, as only a confirmation
     /// since then moves it; the upstream must not have begun to leave. Constant.
-    TimePoint renewed(TimePoint placedUntil, const ListStanding &list) const
+    TimePoint renewed(TimePoint placedUntil, const ListConfirmation &list) const
     {
-        return std::max(placedUntil, holdsUntil(list.m_confirmedAt));
+        return std::max(placedUntil, deliveryDeadline(list.m_confirmedAt));
     }
 
     /// Returns until when a request may reach an upstream that had not begun to leave at a moment.
     /// Constant.
-    TimePoint holdsUntil(TimePoint notLeavingAt) const
+    TimePoint deliveryDeadline(TimePoint notLeavingAt) const
     {
-        return notLeavingAt + m_leavingApply - wayReserve;
+        return notLeavingAt + m_leavingApply - deliveryMargin;
     }
 
     /// Tells whether a request may go out on a connection that took so long to come about, as its
--- a/include/gypsumdale/serving/prompt_news.hpp
+++ b/include/gypsumdale/serving/prompt_news.hpp
@@ -13,7 +13,7 @@
 /// they send theirs there too. In a small fleet every long prompt is told. In a large one each word
 /// goes to many VMs, and what a VM may spend on hearing others is bounded: there each VM tells of
 /// its longest prompts, so many of them that the fleet together stays within that bound.
-class PromptNews
+class PromptAnnouncer
 {
 public:
     /// Takes in how many VMs the fleet has, and whether its exchanges are spread out.
@@ -22,7 +22,7 @@
     /// Notes a prompt that was placed and tells whether peers are to hear of it at once. `speed` is
     /// what an engine reads in a second; nothing is told while it isn't known. Linear in the
     /// prompts of the last seconds.
-    bool isTold(double ownTokens, double speed, TimePoint now);
+    bool shouldAnnounce(double ownTokens, double speed, TimePoint now);
 
 private:
     struct Placed
--- a/include/gypsumdale/serving/prompt_reading.hpp
+++ b/include/gypsumdale/serving/prompt_reading.hpp
@@ -13,7 +13,7 @@
 namespace gypsumdale {
 
 /// How much a service's engines are asked to read, and how fast one of them reads.
-struct ReadingRate
+struct PrefillRate
 {
     /// Prompt tokens of requests placed in a second.
     double m_demand = 0;
@@ -33,18 +33,18 @@
 /// does before the first event, and the VM's own turn at its core. It is 4 to 50 ms, as long as an
 /// engine needs for 5,000 tokens, and differs between deployments too. So prompts of several
 /// lengths are compared: what a longer one takes beyond the quickest was spent on reading.
-class PromptReading
+class PrefillEstimator
 {
 public:
     /// Notes a request that was placed, with the tokens of its prompt that no other request shares.
     /// Constant, amortised.
-    void notePlaced(std::int64_t ownTokens, TimePoint now);
+    void recordPlacement(std::int64_t ownTokens, TimePoint now);
 
     /// Notes how long the first event took of a request that was alone with its prompt. Constant.
-    void noteAlone(std::int64_t ownTokens, Duration wait);
+    void recordUncontended(std::int64_t ownTokens, Duration wait);
 
     /// Constant: a bounded number of requests is kept.
-    ReadingRate rate(TimePoint now);
+    PrefillRate rate(TimePoint now);
 
 private:
     /// Demand is averaged over this: arrivals come in clumps of a second or two.
@@ -66,26 +66,26 @@
 };
 
 /// The reading rates of all services, as this VM and its peers see them.
-class FleetReading
+class FleetPrefillRates
 {
 public:
     /// Returns what this VM learns of a service.
-    PromptReading &own(const ServiceId &service) { return m_own[service]; }
+    PrefillEstimator &own(const ServiceId &service) { return m_own[service]; }
 
     /// Returns this VM's rates, for a report. Linear in the services.
-    std::map<ServiceId, ReadingRate> ownRates(TimePoint now);
+    std::map<ServiceId, PrefillRate> ownRates(TimePoint now);
 
     /// Replaces what one other VM reported.
-    void setPeer(const std::string &node, std::map<ServiceId, ReadingRate> rates);
-    void forgetPeer(const std::string &node) { m_peers.erase(node); }
+    void setPeer(const std::string &node, std::map<ServiceId, PrefillRate> rates);
+    void removePeer(const std::string &node) { m_peers.erase(node); }
 
     /// Returns the rates over the fleet: the sum of the demands, and the median of the speeds that
     /// VMs have seen. Linear in peers and services.
-    std::map<ServiceId, ReadingRate> fleetRates(TimePoint now);
+    std::map<ServiceId, PrefillRate> fleetRates(TimePoint now);
 
 private:
-    std::map<ServiceId, PromptReading> m_own;
-    std::map<std::string, std::map<ServiceId, ReadingRate>> m_peers;
+    std::map<ServiceId, PrefillEstimator> m_own;
+    std::map<std::string, std::map<ServiceId, PrefillRate>> m_peers;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/serving/repeat_allowance.hpp
+++ b/include/gypsumdale/serving/repeat_allowance.hpp
@@ -9,7 +9,7 @@
 
 namespace gypsumdale {
 
-struct RepeatAllowanceSettings
+struct RetryBudgetShareSettings
 {
     /// Arrivals beyond the first that the fleet may add for each request.
     double m_ratio = 0.2;
@@ -21,10 +21,10 @@
 /// This VM's part of the fleet's budget for sending requests to a further upstream: its own ratio
 /// and an even part of the slack. It needs no word of the other VMs, so that the sum over all of
 /// them stays within the budget in any partition.
-class RepeatAllowance
+class RetryBudgetShare
 {
 public:
-    explicit RepeatAllowance(RepeatAllowanceSettings settings)
+    explicit RetryBudgetShare(RetryBudgetShareSettings settings)
         : m_settings(settings)
     {}
 
@@ -52,7 +52,7 @@
     };
     Use &useOf(const ServiceId &service);
 
-    RepeatAllowanceSettings m_settings;
+    RetryBudgetShareSettings m_settings;
     double m_fleetSize = 1;
     std::map<ServiceId, Use> m_uses;
 };
--- a/include/gypsumdale/serving/scale_planner.hpp
+++ b/include/gypsumdale/serving/scale_planner.hpp
@@ -34,7 +34,7 @@
     /// Requests in flight over the fleet at the service.
     double m_running = 0;
     /// What its engines are asked to read over the fleet, and how fast one of them reads.
-    ReadingRate m_reading;
+    PrefillRate m_reading;
 };
 
 /// Decides how many upstreams of each kind a service has in each data centre: few steady ones as a
@@ -65,7 +65,7 @@
     std::vector<ScaleOrder> plan(const ScaleInput &input, TimePoint now);
 
     /// Notes that reclaimable upstreams were refused in a data centre.
-    void noteRefused(const ScaleOrder &order, TimePoint now);
+    void recordRefusal(const ScaleOrder &order, TimePoint now);
 
 private:
     /// Engines that the load of the last seconds needs.
--- a/include/gypsumdale/serving/serving_config.hpp
+++ b/include/gypsumdale/serving/serving_config.hpp
@@ -14,7 +14,7 @@
 namespace gypsumdale {
 
 /// What may be repeated of a route's requests.
-enum class RepeatKind {
+enum class RouteRepeatSafety {
     /// May run more than once.
     Idempotent,
     /// Runs at most once for each attempt of the caller.
@@ -23,10 +23,10 @@
     Stream,
 };
 
-inline constexpr NameTable<RepeatKind, 3> repeatKindNames = {{
-        {RepeatKind::Idempotent, "idempotent"},
-        {RepeatKind::AtMostOnce, "at-most-once"},
-        {RepeatKind::Stream, "stream"},
+inline constexpr NameTable<RouteRepeatSafety, 3> routeRepeatSafetyNames = {{
+        {RouteRepeatSafety::Idempotent, "idempotent"},
+        {RouteRepeatSafety::AtMostOnce, "at-most-once"},
+        {RouteRepeatSafety::Stream, "stream"},
 }};
 
 /// A service of a route and its part of the route's requests.
@@ -43,7 +43,7 @@
     std::string m_host;
     /// Begins and ends with a slash.
     std::string m_pathPrefix;
-    RepeatKind m_kind = RepeatKind::AtMostOnce;
+    RouteRepeatSafety m_kind = RouteRepeatSafety::AtMostOnce;
     Duration m_timeout = std::chrono::seconds(15);
     Duration m_latencyTarget = std::chrono::seconds(1);
     /// Longest pause between two events of a stream that is in time; 0 where none is named.
@@ -58,9 +58,10 @@
     std::vector<WeightedService> m_services;
 
     /// Tells whether a request may run again after it may have run.
-    bool mayRepeat() const
+    bool isRetryable() const
     {
-        return m_kind == RepeatKind::Idempotent || (m_kind == RepeatKind::Stream && m_isResumable);
+        return m_kind == RouteRepeatSafety::Idempotent
+               || (m_kind == RouteRepeatSafety::Stream && m_isResumable);
     }
 };
 
@@ -73,7 +74,7 @@
     std::optional<int> m_priority;
     bool m_countsTokens = false;
     /// What a request without a token count costs where tokens are counted.
-    double m_plainTokens = 0;
+    double m_defaultTokenCost = 0;
     /// 0 means no quota.
     double m_ratePerSecond = 0;
     double m_burst = 0;
@@ -83,7 +84,7 @@
 struct EngineTraits
 {
     int m_slots = 1;
-    bool m_movesRuns = false;
+    bool m_canMoveRuns = false;
 };
 
 /// How many upstreams of a service may be ordered, and what they cost.
--- a/include/gypsumdale/serving/steady_wall_clock.hpp
+++ b/include/gypsumdale/serving/steady_wall_clock.hpp
@@ -25,7 +25,7 @@
     /// Takes in the offsets of the peers' wall time to this clock's, in milliseconds, as heard
     /// since the last exchange time. Less than two peers say nothing. Returns by how much this
     /// clock was put right; 0 if it wasn't. Linear in the offsets.
-    WallMillis followPeers(std::vector<WallMillis> offsets);
+    WallMillis adjustToPeers(std::vector<WallMillis> offsets);
 
 private:
     bool isOwnTimeOfDay(WallMillis correction) const;
--- a/include/gypsumdale/serving/upstream_feed.hpp
+++ b/include/gypsumdale/serving/upstream_feed.hpp
@@ -31,7 +31,7 @@
 };
 
 /// What a VM that reads the list tells one that doesn't.
-struct UpstreamNews
+struct UpstreamListUpdate
 {
     /// The store's revision of the list that the changes lead to.
     std::int64_t m_revision = 0;
@@ -40,7 +40,7 @@
     std::optional<std::int64_t> m_sinceRevision;
     std::vector<UpstreamChange> m_changes;
     /// How long ago the store came back, as the sender saw it; nothing if it was never away.
-    std::optional<Duration> m_returnedAgo;
+    std::optional<Duration> m_storeReturnedAgo;
     /// The newest change of the sender's history that is told.
     std::int64_t m_newestChange = 0;
 };
@@ -74,19 +74,19 @@
     void apply(const std::vector<UpstreamChange> &changes, std::int64_t revision, TimePoint now);
 
     /// How news was taken.
-    enum class Taking {
+    enum class ApplyResult {
         Taken,
         /// It is older than what is known, and lacks nothing.
         Older,
         /// This list lacks more than was told.
-        Lacking,
+        ChangesMissing,
     };
     /// Takes in news of a VM that reads the store for this one, as if it had been read here. Linear
     /// in the changes, or in the list if it is told whole.
-    Taking take(const UpstreamNews &news, TimePoint confirmedAt, TimePoint now);
+    ApplyResult take(const UpstreamListUpdate &news, TimePoint confirmedAt, TimePoint now);
 
     /// Notes that the store did not answer.
-    void storeFailed() { m_isStoreAway = true; }
+    void onStoreUnavailable() { m_isStoreAway = true; }
 
     /// Drops entries whose time to come back is over. Returns true if any was. Linear.
     bool expire(TimePoint now);
@@ -102,11 +102,11 @@
     TimePoint confirmedAt() const { return m_confirmedAt; }
     bool isKnown() const { return m_list.m_revision > 0; }
     /// Tells whether an entry vanished and is only kept for its return. Logarithmic.
-    bool isKept(const UpstreamId &id) const { return m_vanished.contains(id); }
+    bool isRetained(const UpstreamId &id) const { return m_vanished.contains(id); }
     /// Names whose entries can't be read, as far as the list is known.
     const std::set<UpstreamId> &unusable() const { return m_list.m_unusable; }
     /// When the store last came back; the beginning of time if it was never away.
-    TimePoint returnedAt() const { return m_returnedAt; }
+    TimePoint storeReturnedAt() const { return m_returnedAt; }
     /// What changed for routing, for who is told differences.
     const UpstreamHistory &history() const { return m_history; }
 
--- a/include/gypsumdale/serving/upstream_history.hpp
+++ b/include/gypsumdale/serving/upstream_history.hpp
@@ -27,12 +27,12 @@
 {
 public:
     /// Notes that an upstream joined or changed. Logarithmic.
-    void noteChanged(const UpstreamId &upstream) { note(upstream, false); }
+    void recordChange(const UpstreamId &upstream) { note(upstream, false); }
     /// Notes that an upstream left. Logarithmic; linear when old ones are forgotten.
     void noteGone(const UpstreamId &upstream) { note(upstream, true); }
 
     /// Notes that the list was replaced: what came and went unseen can't be told as differences.
-    void noteReplaced();
+    void recordReplacement();
 
     /// The number of the newest change; 0 before the first.
     std::int64_t newest() const { return m_newest; }
--- a/include/gypsumdale/serving/upstream_news.hpp
+++ b/include/gypsumdale/serving/upstream_news.hpp
@@ -12,13 +12,13 @@
 public:
     /// Returns what the follower lacks of the list, or the whole list where that can't be told.
     /// Linear.
-    UpstreamNews newsFor(const UpstreamFeed &list, TimePoint now) const;
+    UpstreamListUpdate updateFor(const UpstreamFeed &list, TimePoint now) const;
 
     /// The follower took what it was told. Without an answer the same is told again: taking it
     /// twice changes nothing.
-    void onTaken(const UpstreamNews &news);
+    void onApplied(const UpstreamListUpdate &news);
     /// The follower lacks more than it was told.
-    void onLacking() { m_isKnown = false; }
+    void onMissingChanges() { m_isKnown = false; }
 
     /// Tells whether what the follower holds is known, so that the whole list isn't needed.
     bool isKnown() const { return m_isKnown; }
--- a/include/gypsumdale/serving/upstream_pool.hpp
+++ b/include/gypsumdale/serving/upstream_pool.hpp
@@ -27,7 +27,7 @@
 };
 
 /// Prompt tokens that another VM had waiting at an upstream, as of a moment.
-struct ToldPrompts
+struct ReportedPrompts
 {
     TimePoint m_at{};
     std::int64_t m_tokens = 0;
@@ -39,9 +39,9 @@
     UpstreamRecord m_record;
     InFlightLoad m_own;
     /// Sum over the other VMs, as of their last reports.
-    InFlightLoad m_others;
+    InFlightLoad m_peerTotal;
     /// The prompt tokens among it by VM, those that were told first in front.
-    std::vector<ToldPrompts> m_othersPrompts;
+    std::vector<ReportedPrompts> m_peerPrompts;
     /// Failures of the last requests, as a moving average from 0 to 1.
     double m_failureShare = 0;
     int m_failuresInRow = 0;
@@ -58,9 +58,12 @@
     std::map<const void *, std::function<void(std::int64_t startedAt)>> m_onReplaced;
 
     /// Requests of all VMs in flight there, as far as is known.
-    int running() const { return m_own.m_running + m_others.m_running; }
+    int running() const { return m_own.m_running + m_peerTotal.m_running; }
     /// Prompt tokens of all VMs' requests that are still to be read, as far as is known.
-    std::int64_t pendingTokens() const { return m_own.m_pendingTokens + m_others.m_pendingTokens; }
+    std::int64_t pendingTokens() const
+    {
+        return m_own.m_pendingTokens + m_peerTotal.m_pendingTokens;
+    }
     /// Returns what is left of them if the upstream has read at a speed, in tokens a second, since
     /// others told of theirs. Own ones are known to be still unread. Linear in the VMs that told.
     double unreadTokens(double speed, TimePoint now) const;
@@ -81,11 +84,11 @@
     std::int64_t m_sharedTokens = 0;
     /// Prompt tokens that an engine may read in a row before the pause in the streams beside them
     /// is too long; 0 where that isn't known.
-    double m_pauseTokens = 0;
+    double m_maxPauseTokens = 0;
     /// Prompt tokens that one engine reads in a second; 0 where that isn't known.
     double m_readingSpeed = 0;
     /// Peers hear of this request's placement at once.
-    bool m_isTold = false;
+    bool m_isAnnounced = false;
     /// Names the last shared part; empty where there is none.
     std::string m_affinityKey;
     /// Upstreams that are not to be chosen.
@@ -95,7 +98,7 @@
 };
 
 /// How an attempt at an upstream ended, for its health.
-enum class AttemptVerdict {
+enum class AttemptResult {
     Good,
     /// It refused before it ran the request.
     Refused,
@@ -123,11 +126,11 @@
     /// Replaces what one other VM has in flight at one upstream. Linear in the loads of all VMs.
     void setPeerLoadAt(const std::string &node, const UpstreamId &upstream, InFlightLoad load,
                        TimePoint now);
-    void forgetPeer(const std::string &node);
+    void removePeer(const std::string &node);
 
     /// Takes in by how much exchanges with peers are spread out. From 2 on their loads are too old
     /// to be compared: the choice is left to chance in part.
-    void setExchangePace(int stretch) { m_areReportsOld = stretch > 1; }
+    void setExchangeStretch(int stretch) { m_areReportsOld = stretch > 1; }
 
     /// Chooses the upstream that would serve the request soonest, or nullptr if there is none.
     /// Linear in the service's upstreams.
@@ -143,15 +146,18 @@
     /// Tells whether upstreams whose entries vanished, and are kept for their return, are placed
     /// by: while as many of a service are missing as are there. Where fewer are, the store was out
     /// of this VM's reach only, and what is missing has left. Constant.
-    static constexpr bool usesKept(std::size_t kept, std::size_t all) { return 2 * kept >= all; }
+    static constexpr bool usesRetained(std::size_t kept, std::size_t all)
+    {
+        return 2 * kept >= all;
+    }
 
     /// Returns the prompt tokens that wait at the engine with the fewest of them, of all data
     /// centres, or nothing where each is avoided or there is none. Linear in the upstreams.
-    std::optional<std::int64_t> leastPendingTokens(const PlacementRequest &request,
-                                                   TimePoint now) const;
+    std::optional<std::int64_t> minPendingTokens(const PlacementRequest &request,
+                                                 TimePoint now) const;
 
     /// Notes how an attempt ended. Constant.
-    static void note(PooledUpstream &upstream, AttemptVerdict verdict, TimePoint now);
+    static void note(PooledUpstream &upstream, AttemptResult verdict, TimePoint now);
 
     const std::map<UpstreamId, PooledUpstreamPointer> &upstreams() const { return m_upstreams; }
     /// The revision of the list in use.
--- a/include/gypsumdale/serving/upstream_record.hpp
+++ b/include/gypsumdale/serving/upstream_record.hpp
@@ -27,15 +27,15 @@
     bool m_isDraining = false;
     bool m_isReclaimable = false;
     /// Its entry vanished around an outage of the store, and is kept for its return.
-    bool m_isKept = false;
+    bool m_isRetained = false;
     /// Time until it is taken away, where it has been told.
-    std::optional<Duration> m_leavesIn;
+    std::optional<Duration> m_timeUntilRemoval;
 };
 
 /// Tells whether two entries of one upstream mean the same for where requests go.
 inline bool isSameForRouting(const UpstreamRecord &left, const UpstreamRecord &right)
 {
-    return left.m_isDraining == right.m_isDraining && left.m_isKept == right.m_isKept
+    return left.m_isDraining == right.m_isDraining && left.m_isRetained == right.m_isRetained
            && left.m_ip == right.m_ip && left.m_port == right.m_port
            && left.m_service == right.m_service && left.m_startedAt == right.m_startedAt;
 }
--- a/include/gypsumdale/serving/usage_counts.hpp
+++ b/include/gypsumdale/serving/usage_counts.hpp
@@ -21,7 +21,7 @@
 }
 
 /// What a process counted that its VM no longer tells of: it has ended, or is silent.
-struct EndedUsage
+struct EndedProcessUsage
 {
     std::string m_process;
     WindowNumber m_window = 0;
@@ -49,13 +49,13 @@
 
     /// Takes what another VM knows of a process. Counts only grow, so the larger ones are kept.
     /// Logarithmic.
-    void takeEnded(const EndedUsage &ended);
+    void mergeEnded(const EndedProcessUsage &ended);
 
     /// Returns the counts of processes that tell of them no longer, for VMs that never heard them.
     /// Without it, the counts of VMs that were stopped in turn were lost with the last VM that had
     /// heard them: 182 of 378 requests of a window were missing in its report. Linear in the
     /// processes.
-    std::vector<EndedUsage> ended(TimePoint now) const;
+    std::vector<EndedProcessUsage> ended(TimePoint now) const;
 
     /// Returns the sum over all VMs of one window. Linear in the VMs.
     WindowCounts total(WindowNumber window) const;
@@ -64,7 +64,7 @@
     const std::map<WindowNumber, WindowCounts> &own() const { return m_own; }
 
     /// Forgets windows before one. Linear in those.
-    void forgetBefore(WindowNumber window);
+    void removeBefore(WindowNumber window);
 
 private:
     Duration m_span;
--- a/include/gypsumdale/serving/usage_windows.hpp
+++ b/include/gypsumdale/serving/usage_windows.hpp
@@ -17,7 +17,7 @@
     /// Never changed again: what is reported of a window is what was fixed.
     std::map<WindowNumber, WindowCounts> m_fixed;
     /// What is known so far of windows that are over and may still grow.
-    std::map<WindowNumber, WindowCounts> m_noted;
+    std::map<WindowNumber, WindowCounts> m_provisional;
 
     bool operator==(const UsageLedger &) const = default;
 };
@@ -43,11 +43,11 @@
     UsageWindows(Duration span, Duration due);
 
     /// What the holder sees.
-    struct Look
+    struct FleetObservation
     {
         WallMillis m_now = 0;
         /// Every VM of the fleet was heard then or later.
-        WallMillis m_allHeardSince = 0;
+        WallMillis m_allReceivedSince = 0;
     };
     using Heard = std::function<WindowCounts(WindowNumber)>;
 
@@ -55,25 +55,25 @@
     void setDue(Duration due) { m_due = due; }
 
     /// Takes in what stands in the store, read or written just now. Linear in its windows.
-    void onLedger(UsageLedger ledger) { m_ledger = std::move(ledger); }
+    void setLedger(UsageLedger ledger) { m_ledger = std::move(ledger); }
 
     /// Returns what should stand in the store instead, if anything. Linear in accounts and the
     /// windows that are not reported.
-    std::optional<UsageLedger> toStore(const Look &look, const Heard &heard);
+    std::optional<UsageLedger> ledgerToStore(const FleetObservation &look, const Heard &heard);
 
     /// Returns the reports that are due and may be sent. Linear in accounts.
-    std::vector<UsageReport> toSend(WallMillis now) const;
+    std::vector<UsageReport> dueReports(WallMillis now) const;
 
     /// Takes in that a report was accepted. Logarithmic.
-    void onSent(WindowNumber window) { m_sent.insert(window); }
+    void onReportAccepted(WindowNumber window) { m_sent.insert(window); }
 
 private:
     WallMillis endOf(WindowNumber window) const { return (window + 1) * m_span; }
     WindowNumber firstDue(WallMillis now) const;
-    bool isSettled(WindowNumber window, const Look &look) const;
+    bool isSettled(WindowNumber window, const FleetObservation &look) const;
     /// Returns what is known of a window, heard or noted.
     WindowCounts known(WindowNumber window, const Heard &heard) const;
-    void forgetBefore(WindowNumber window, UsageLedger &ledger);
+    void removeBefore(WindowNumber window, UsageLedger &ledger);
 
     WallMillis m_span;
     Duration m_due;
--- a/src/entry/entry_call.cpp
+++ b/src/entry/entry_call.cpp
@@ -77,7 +77,7 @@
 void EntryCall::serve()
 {
     m_traffic.allowance().noteRequest(m_service, m_traffic.now());
-    if (m_route->m_kind == RepeatKind::Stream)
+    if (m_route->m_kind == RouteRepeatSafety::Stream)
         serveStream();
     else
         serveWhole();
@@ -96,7 +96,7 @@
     }
     if (isFirst)
         return std::nullopt;
-    if (m_mayHaveRun > 0 && !m_route->mayRepeat())
+    if (m_mayHaveRun > 0 && !m_route->isRetryable())
         return AttemptStop::NotAllowed;
     if (m_mayHaveRun >= m_route->m_maxAttempts || m_connectFailures >= mostConnectFailures)
         return AttemptStop::NotAllowed;
@@ -110,7 +110,7 @@
     forwarding.m_upstream = upstream.m_record.m_id;
     if (m_account)
         forwarding.m_account = m_account->m_id;
-    if (m_route->m_kind == RepeatKind::Stream)
+    if (m_route->m_kind == RouteRepeatSafety::Stream)
         forwarding.m_priority = priority();
     forwarding.m_resumeAfter = m_lastEventId;
     forwarding.m_memory = m_memory;
@@ -136,7 +136,7 @@
 Duration EntryCall::firstAnswerLimit() const
 {
     const Duration left = timeLeft();
-    const bool canRepeat = m_route->mayRepeat() && m_mayHaveRun + 1 < m_route->m_maxAttempts;
+    const bool canRepeat = m_route->isRetryable() && m_mayHaveRun + 1 < m_route->m_maxAttempts;
     if (!canRepeat)
         return left;
     return std::min(left, patienceInTargets * m_route->m_latencyTarget);
@@ -156,7 +156,7 @@
         }
         PlacementRequest request = placement();
         request.m_draw = m_traffic.draw();
-        request.m_isTold = m_traffic.isTold(m_service, ownTokens());
+        request.m_isAnnounced = m_traffic.shouldAnnounce(m_service, ownTokens());
         const PooledUpstreamPointer upstream = m_traffic.pool().choose(request, m_traffic.now());
         if (!upstream)
             return AttemptStop::NoUpstream;
@@ -167,9 +167,9 @@
         const bool isAlone = readsAlone(*upstream);
         UpstreamHold hold(upstream, m_caller.m_promptTokens);
         const TimePoint sentAt = m_traffic.now();
-        m_traffic.notePlaced(*upstream, ownTokens(), request.m_isTold);
-        m_traffic.forecaster().notePlaced(m_service, priority(), m_caller.m_promptTokens,
-                                          ownTokens(), sentAt);
+        m_traffic.recordPlacement(*upstream, ownTokens(), request.m_isAnnounced);
+        m_traffic.forecaster().recordPlacement(m_service, priority(), m_caller.m_promptTokens,
+                                               ownTokens(), sentAt);
         CallResult<HttpExchange> opened =
                 send(hold,
                      std::make_shared<PlacementCallTerm>(m_traffic, *until, TermRenewal::WithList));
@@ -225,7 +225,7 @@
     placement.m_sharedTokens = m_caller.m_sharedTokens;
     const Duration pause = m_view->shortestPause(m_service);
     placement.m_readingSpeed = m_traffic.tokensWithin(m_service, std::chrono::seconds(1));
-    placement.m_pauseTokens = pauseUsed * m_traffic.tokensWithin(m_service, pause);
+    placement.m_maxPauseTokens = pauseUsed * m_traffic.tokensWithin(m_service, pause);
     if (m_route->m_hasPrefixAffinity)
         placement.m_affinityKey = m_caller.m_lastSharedPart;
     placement.m_excluded = m_tried;
@@ -238,7 +238,7 @@
     const platform::AnswerTraits traits =
             platform::decodeAnswer(exchange.status(), exchange.headers(), m_caller.m_id);
     if (traits.m_isNotRun && traits.m_isToThisRequest) {
-        UpstreamPool::note(upstream, AttemptVerdict::Refused, m_traffic.now());
+        UpstreamPool::note(upstream, AttemptResult::Refused, m_traffic.now());
         m_traffic.log().info(
                 "attempt-refused",
                 {m_caller.m_id, upstream.m_record.m_id, {LogField::Status, exchange.status()}});
@@ -248,7 +248,7 @@
     const bool isUnsignedSuccess = exchange.status() / 100 == 2 && !traits.m_isSigned;
     if (traits.m_isToThisRequest && !isUnsignedSuccess)
         return true;
-    UpstreamPool::note(upstream, AttemptVerdict::Broken, m_traffic.now());
+    UpstreamPool::note(upstream, AttemptResult::Broken, m_traffic.now());
     m_traffic.log().warning(
             "answer-not-ours",
             {m_caller.m_id, upstream.m_record.m_id, {LogField::Status, exchange.status()}});
@@ -292,7 +292,7 @@
         return;
     const bool isUnsentInTerm = noteTermOver(hold.upstream(), failure);
     if (!isGivenUpHere(failure) && !isUnsentInTerm)
-        UpstreamPool::note(hold.upstream(), AttemptVerdict::Broken, m_traffic.now());
+        UpstreamPool::note(hold.upstream(), AttemptResult::Broken, m_traffic.now());
     if (failure.m_phase == SendPhase::NothingSent) {
         ++m_connectFailures;
     } else {
@@ -350,9 +350,9 @@
         auto &reply = std::get<HttpReply>(reading);
         const bool isServerError = reply.m_status >= 500;
         UpstreamPool::note(answer.m_hold.upstream(),
-                           isServerError ? AttemptVerdict::ServerError : AttemptVerdict::Good,
+                           isServerError ? AttemptResult::ServerError : AttemptResult::Good,
                            m_traffic.now());
-        if (!isServerError || !m_route->mayRepeat()) {
+        if (!isServerError || !m_route->isRetryable()) {
             passOn(reply);
             return;
         }
--- a/src/entry/entry_call_admission.cpp
+++ b/src/entry/entry_call_admission.cpp
@@ -58,7 +58,7 @@
     if (m_account->m_countsTokens) {
         cost = m_caller.m_hasTokenCounts
                        ? static_cast<double>(m_caller.m_promptTokens + m_caller.m_outputTokens)
-                       : m_account->m_plainTokens;
+                       : m_account->m_defaultTokenCost;
     }
     const QuotaDecision decision = m_traffic.quota().admit(*m_account, cost, m_traffic.now());
     if (decision.m_verdict == QuotaVerdict::Admitted)
@@ -94,7 +94,7 @@
 /// learn nothing until then. It has not been sent anywhere, so that it has not run is true.
 bool EntryCall::hasRoomInTime()
 {
-    if (m_route->m_kind != RepeatKind::Stream || m_caller.m_promptTokens == 0)
+    if (m_route->m_kind != RouteRepeatSafety::Stream || m_caller.m_promptTokens == 0)
         return true;
     ForecastRequest request;
     request.m_placement = placement();
@@ -104,12 +104,13 @@
             m_traffic.forecaster().forecast(request, m_traffic.pool(), m_traffic.now());
     if (!forecast || !FirstEventForecaster::isTooLate(*forecast, timeLeft()))
         return true;
-    RoomTerms terms;
+    CapacityTimeInputs terms;
     terms.m_latencyTarget = m_route->m_latencyTarget;
     const ServingService *service = m_view->findService(m_service);
     if (service && service->m_scaling)
         terms.m_bootTime = service->m_scaling->m_bootTime;
-    const Duration comeBack = FirstEventForecaster::untilRoom(*forecast, terms, m_traffic.random());
+    const Duration comeBack =
+            FirstEventForecaster::timeUntilCapacity(*forecast, terms, m_traffic.random());
     m_traffic.metrics().add(Counter::NoRoomInTime);
     m_traffic.log().info("no-room-in-time", {m_caller.m_id,
                                              {LogField::Route, m_route->m_name},
--- a/src/entry/entry_call_end.cpp
+++ b/src/entry/entry_call_end.cpp
@@ -92,7 +92,7 @@
              {LogField::ListAgeMillis, toMillis(m_traffic.listAge())},
              {LogField::TermMillis, toMillis(until - m_traffic.now())},
              {LogField::Running, upstream.m_own.m_running},
-             {LogField::OthersRunning, upstream.m_others.m_running},
+             {LogField::OthersRunning, upstream.m_peerTotal.m_running},
              {LogField::AgeMillis, toMillis(m_traffic.pool().reportAge(m_traffic.now()))},
              {LogField::Attempt, m_arrivals + m_connectFailures + 1},
              {LogField::HeldMillis, toMillis(m_traffic.now() - m_arrivedAt)},
--- a/src/entry/entry_call_stream.cpp
+++ b/src/entry/entry_call_stream.cpp
@@ -41,12 +41,12 @@
         if (answer.m_exchange.status() / 100 != 2) {
             Reading reading = readWhole(answer);
             const auto *reply = std::get_if<HttpReply>(&reading);
-            UpstreamPool::note(answer.m_hold.upstream(), AttemptVerdict::ServerError,
+            UpstreamPool::note(answer.m_hold.upstream(), AttemptResult::ServerError,
                                m_traffic.now());
             noteRan();
             if (reply && !m_hasBegun)
                 m_fallback = *reply;
-            if (!m_route->mayRepeat() || (reply && reply->m_status < 500)) {
+            if (!m_route->isRetryable() || (reply && reply->m_status < 500)) {
                 conclude(AttemptStop::NotAllowed);
                 return;
             }
@@ -58,7 +58,7 @@
             conclude(AttemptStop::CallerGone);
             return;
         }
-        if (!m_route->mayRepeat()) {
+        if (!m_route->isRetryable()) {
             conclude(AttemptStop::NotAllowed);
             return;
         }
@@ -69,15 +69,15 @@
 /// Tells whether a stream is cut into events, as it may have to go on after one of them.
 bool EntryCall::cutsEvents() const
 {
-    if (m_route->mayRepeat())
+    if (m_route->isRetryable())
         return true;
     const ServingService *service = m_view->findService(m_service);
-    return service && service->m_engine && service->m_engine->m_movesRuns;
+    return service && service->m_engine && service->m_engine->m_canMoveRuns;
 }
 
 bool EntryCall::passStream(OpenAnswer &answer)
 {
-    if (m_route->mayRepeat() || !cutsEvents())
+    if (m_route->isRetryable() || !cutsEvents())
         return passRun(answer);
     std::optional<OpenAnswer> moved;
     OpenAnswer *current = &answer;
@@ -159,9 +159,9 @@
 {
     for (;;) {
         const Duration silence =
-                m_route->mayRepeat() ? std::max(streamSilence, m_events == 0 ? firstAnswerLimit()
-                                                                             : Duration::zero())
-                                     : Duration::max();
+                m_route->isRetryable() ? std::max(streamSilence, m_events == 0 ? firstAnswerLimit()
+                                                                               : Duration::zero())
+                                       : Duration::max();
         const Duration limit = std::clamp(timeLeft(), Duration::zero(), silence);
         auto piece = answer.m_exchange.read(limit);
         if (auto *failure = std::get_if<CallFailure>(&piece)) {
@@ -178,7 +178,7 @@
     }
     if (m_splitter.hasPartial())
         return false;
-    UpstreamPool::note(answer.m_hold.upstream(), AttemptVerdict::Good, m_traffic.now());
+    UpstreamPool::note(answer.m_hold.upstream(), AttemptResult::Good, m_traffic.now());
     if (!m_hasBegun && !beginStream(answer))
         return false;
     if (!m_responder.finish()) {
@@ -196,7 +196,7 @@
 {
     answer.m_hold.promptIsRead();
     if (const auto since = std::exchange(answer.m_aloneSince, std::nullopt))
-        m_traffic.reading().own(m_service).noteAlone(ownTokens(), m_traffic.now() - *since);
+        m_traffic.reading().own(m_service).recordUncontended(ownTokens(), m_traffic.now() - *since);
 }
 
 bool EntryCall::passPiece(const std::string &piece, OpenAnswer &answer)
--- a/src/entry/entry_duties.cpp
+++ b/src/entry/entry_duties.cpp
@@ -44,7 +44,7 @@
     if (const auto &cloud = context.m_settings.m_cloud)
         m_cloud.emplace(context.m_client, Endpoint{cloud->m_ip, cloud->m_port});
     m_peers.onDutyHeard([this](std::int64_t fence, std::int64_t revision) {
-        m_lease.onHolderHeard(fence, revision, bootNow());
+        m_lease.onHolderReport(fence, revision, bootNow());
     });
 }
 
@@ -61,7 +61,7 @@
 
 void EntryDuties::takeLeaseStep()
 {
-    std::visit(Overloaded{[](const LeaveLease &) {}, [this](const ReadLease &) { read(); },
+    std::visit(Overloaded{[](const NoLeaseAction &) {}, [this](const ReadLease &) { read(); },
                           [this](const WriteLease &step) {
                               write(step.m_record);
                           }},
@@ -144,24 +144,24 @@
     if (!loadLedger())
         return;
     m_windows.setDue(m_context.m_settings.m_bounds.m_usageDue);
-    const UsageWindows::Look seen = look();
+    const UsageWindows::FleetObservation seen = look();
     const auto heard = [this](WindowNumber window) {
         return m_context.m_trafficLoop.call(
                 [this, window] { return m_context.m_traffic.usageOf(window); });
     };
-    if (auto next = m_windows.toStore(seen, heard))
+    if (auto next = m_windows.ledgerToStore(seen, heard))
         storeLedger(*std::move(next));
-    for (const UsageReport &report : m_windows.toSend(seen.m_now)) {
+    for (const UsageReport &report : m_windows.dueReports(seen.m_now)) {
         if (sendWindow(report))
-            m_windows.onSent(report.m_window);
+            m_windows.onReportAccepted(report.m_window);
     }
 }
 
-UsageWindows::Look EntryDuties::look()
+UsageWindows::FleetObservation EntryDuties::look()
 {
-    UsageWindows::Look seen;
+    UsageWindows::FleetObservation seen;
     seen.m_now = m_context.m_trafficLoop.call([this] { return m_context.m_traffic.wallNow(); });
-    seen.m_allHeardSince = seen.m_now - wholeMillis(m_peers.longestSilence());
+    seen.m_allReceivedSince = seen.m_now - wholeMillis(m_peers.longestSilence());
     return seen;
 }
 
@@ -176,7 +176,7 @@
         return false;
     m_ledgerFence = fence;
     m_ledgerRevision = succeeded(object) ? valueOf(object).m_revision : 0;
-    m_windows.onLedger(succeeded(object) ? platform::decodeUsage(valueOf(object)) : UsageLedger());
+    m_windows.setLedger(succeeded(object) ? platform::decodeUsage(valueOf(object)) : UsageLedger());
     return true;
 }
 
@@ -193,12 +193,12 @@
         // It may have been done all the same: what stands there is read before more is written.
         m_ledgerRevision = -1;
         m_context.m_log.warning("usage-not-fixed",
-                                {{LogField::Count, next.m_noted.size()},
+                                {{LogField::Count, next.m_provisional.size()},
                                  {LogField::ErrorName, errorName(errorOf(written).m_id)}});
         return;
     }
     m_ledgerRevision = valueOf(written).m_revision;
-    m_windows.onLedger(std::move(next));
+    m_windows.setLedger(std::move(next));
 }
 
 bool EntryDuties::sendWindow(const UsageReport &report)
@@ -280,7 +280,7 @@
     }
     const auto reply = m_cloud->order({m_context.m_settings.m_node, *fence}, order);
     if (reply.m_verdict == platform::CloudVerdict::Unavailable)
-        m_planner.noteRefused(order, m_context.now());
+        m_planner.recordRefusal(order, m_context.now());
     const bool isAccepted = handle(reply, *fence, "scale");
     const auto running = m_peers.report().m_running.find(order.m_service);
     const double inFlight = running == m_peers.report().m_running.end() ? 0 : running->second;
--- a/src/entry/entry_peers.cpp
+++ b/src/entry/entry_peers.cpp
@@ -124,7 +124,7 @@
     m_table.setExpected(m_fleetSize.isRegistryRead() ? expected : 0);
     const int stretch = m_table.pace(now).stretch();
     m_context.m_trafficLoop.spawn([this, stretch, expected, size] {
-        m_context.m_traffic.setExchangePace(stretch);
+        m_context.m_traffic.setExchangeStretch(stretch);
         m_context.m_traffic.setFleetSize(size, expected);
     });
 }
@@ -142,7 +142,7 @@
         if (peer->m_node.empty())
             continue;
         m_context.m_trafficLoop.spawn(
-                [this, node = peer->m_node] { m_context.m_traffic.forgetPeer(node); });
+                [this, node = peer->m_node] { m_context.m_traffic.removePeer(node); });
     }
 }
 
--- a/src/entry/entry_store_news.cpp
+++ b/src/entry/entry_store_news.cpp
@@ -27,14 +27,14 @@
 /// would hold up the slowest link of a VM for longer than followers wait.
 constexpr std::size_t largestConfigSent = std::size_t{32} * 1024;
 
-entrywire::StoreNews wireNews(const UpstreamNews &upstreams)
+entrywire::StoreNews wireNews(const UpstreamListUpdate &upstreams)
 {
     entrywire::StoreNews news;
     news.newestChange = upstreams.m_newestChange;
     news.sinceRevision = upstreams.m_sinceRevision.value_or(wholeList);
     news.upstreamRevision = upstreams.m_revision;
     news.storeReturnedAgoMillis =
-            upstreams.m_returnedAgo ? wholeMillis(*upstreams.m_returnedAgo) : neverAway;
+            upstreams.m_storeReturnedAgo ? wholeMillis(*upstreams.m_storeReturnedAgo) : neverAway;
     std::map<UpstreamId, UpstreamRecord> present;
     for (const UpstreamChange &change : upstreams.m_changes) {
         const UpstreamId &id = change.m_record.m_id;
@@ -51,7 +51,7 @@
 }
 
 void addAbsent(const std::vector<std::string> &ids, UpstreamChangeKind kind,
-               UpstreamNews &upstreams)
+               UpstreamListUpdate &upstreams)
 {
     for (const std::string &id : ids) {
         UpstreamChange &change = upstreams.m_changes.emplace_back();
@@ -60,15 +60,15 @@
     }
 }
 
-UpstreamNews upstreamNews(const entrywire::StoreNews &news)
+UpstreamListUpdate upstreamNews(const entrywire::StoreNews &news)
 {
-    UpstreamNews upstreams;
+    UpstreamListUpdate upstreams;
     upstreams.m_newestChange = news.newestChange;
     upstreams.m_revision = news.upstreamRevision;
     if (news.sinceRevision != wholeList)
         upstreams.m_sinceRevision = news.sinceRevision;
     if (news.storeReturnedAgoMillis != neverAway)
-        upstreams.m_returnedAgo = std::chrono::milliseconds(news.storeReturnedAgoMillis);
+        upstreams.m_storeReturnedAgo = std::chrono::milliseconds(news.storeReturnedAgoMillis);
     if (!news.upstreamText.empty()) {
         for (const auto &[id, record] : platform::decodeUpstreamText(news.upstreamText))
             upstreams.m_changes.push_back({record, UpstreamChangeKind::Present});
@@ -157,7 +157,8 @@
 /// Returns what the follower still needs; nothing if it didn't answer.
 entrywire::StoreNewsTaken EntryStoreNews::tellPart(const NearPeer &peer, ConfigPart part)
 {
-    const UpstreamNews upstreams = m_upstreams.newsFor(m_followers[peer.m_peer->m_address].m_state);
+    const UpstreamListUpdate upstreams =
+            m_upstreams.updateFor(m_followers[peer.m_peer->m_address].m_state);
     entrywire::EntryExchange message;
     message.__set_news(wireNews(upstreams));
     message.news.node = m_context.m_settings.m_node.text();
@@ -173,17 +174,17 @@
         pause.onMissed(m_context.now());
         return {};
     }
-    pause.onTaken();
+    pause.onApplied();
     FollowerState &state = m_followers[peer.m_peer->m_address].m_state;
     if (!valueOf(answer).__isset.newsTaken) {
-        state.onLacking();
+        state.onMissingChanges();
         return {};
     }
     const entrywire::StoreNewsTaken &taken = valueOf(answer).newsTaken;
     if (taken.needsWholeList)
-        state.onLacking();
+        state.onMissingChanges();
     else
-        state.onTaken(upstreams);
+        state.onApplied(upstreams);
     return taken;
 }
 
--- a/src/entry/entry_traffic.cpp
+++ b/src/entry/entry_traffic.cpp
@@ -86,7 +86,7 @@
     m_mover->look();
 }
 
-void EntryTraffic::setListStanding(const ListStanding &list, const PlacementTerm &term)
+void EntryTraffic::setListStanding(const ListConfirmation &list, const PlacementDeadline &term)
 {
     m_list = list;
     m_list.m_isUnconfirmable = list.m_isUnconfirmable || list.m_confirmedAt == TimePoint{};
@@ -97,26 +97,26 @@
 {
     if (!upstream.m_notLeavingAt)
         return std::nullopt;
-    const TimePoint until = m_term.holdsUntil(*upstream.m_notLeavingAt);
+    const TimePoint until = m_term.deliveryDeadline(*upstream.m_notLeavingAt);
     return now() < until ? std::optional(until) : std::nullopt;
 }
 
 void EntryTraffic::setPeer(const PeerReport &report)
 {
-    m_quota.setPeerUse(report.m_node, report.m_accounts, now());
+    m_quota.setPeerUsage(report.m_node, report.m_accounts, now());
     m_pool.setPeerLoad(report.m_node, report.m_loads, now());
     m_reading.setPeer(report.m_node, report.m_reading);
     for (const auto &[window, counts] : report.m_usage)
         m_usage.setPeer(report.m_node, report.m_incarnation, window, counts, now());
-    for (const EndedUsage &ended : report.m_endedUsage)
-        m_usage.takeEnded(ended);
+    for (const EndedProcessUsage &ended : report.m_endedUsage)
+        m_usage.mergeEnded(ended);
     m_peerOffsets[report.m_node] = report.m_wallOffset;
 }
 
-void EntryTraffic::forgetPeer(const std::string &node)
+void EntryTraffic::removePeer(const std::string &node)
 {
-    m_pool.forgetPeer(node);
-    m_reading.forgetPeer(node);
+    m_pool.removePeer(node);
+    m_reading.removePeer(node);
     m_peerOffsets.erase(node);
 }
 
@@ -131,15 +131,15 @@
     for (const auto &[node, offset] : m_peerOffsets)
         offsets.push_back(offset);
     const std::size_t peers = offsets.size();
-    if (const WallMillis correction = m_wall.followPeers(std::move(offsets)))
+    if (const WallMillis correction = m_wall.adjustToPeers(std::move(offsets)))
         m_log.warning("clock-put-right",
                       {{LogField::Millis, correction}, {LogField::Count, peers}});
     m_peerOffsets.clear();
 
     TrafficReport result;
     result.m_wall = wallNow();
-    m_usage.forgetBefore(m_usage.windowAt(result.m_wall) - windowsKept);
-    result.m_accounts = m_quota.ownUse(now());
+    m_usage.removeBefore(m_usage.windowAt(result.m_wall) - windowsKept);
+    result.m_accounts = m_quota.localUsage(now());
     result.m_usage = m_usage.own();
     result.m_endedUsage = m_usage.ended(now());
     result.m_ownReading = m_reading.ownRates(now());
@@ -153,18 +153,19 @@
     return result;
 }
 
-bool EntryTraffic::isTold(const ServiceId &service, std::int64_t ownTokens)
+bool EntryTraffic::shouldAnnounce(const ServiceId &service, std::int64_t ownTokens)
 {
     const double speed = tokensWithin(service, std::chrono::seconds(1));
-    return m_promptNews.isTold(static_cast<double>(ownTokens), speed, now());
+    return m_promptNews.shouldAnnounce(static_cast<double>(ownTokens), speed, now());
 }
 
-void EntryTraffic::notePlaced(const PooledUpstream &upstream, std::int64_t ownTokens, bool isTold)
+void EntryTraffic::recordPlacement(const PooledUpstream &upstream, std::int64_t ownTokens,
+                                   bool shouldAnnounce)
 {
     const UpstreamRecord &record = upstream.m_record;
     m_placementListAge.note(wholeMillis(listAge()));
-    m_reading.own(record.m_service).notePlaced(ownTokens, now());
-    if (isTold && m_longPromptPlaced)
+    m_reading.own(record.m_service).recordPlacement(ownTokens, now());
+    if (shouldAnnounce && m_longPromptPlaced)
         m_longPromptPlaced(record.m_id, loadOf(upstream));
 }
 
--- a/src/entry/entry_upstream_feed.cpp
+++ b/src/entry/entry_upstream_feed.cpp
@@ -13,7 +13,7 @@
 
 std::string_view stateOf(const UpstreamRecord &record)
 {
-    if (record.m_isKept)
+    if (record.m_isRetained)
         return "kept";
     return record.m_isDraining ? "draining" : "ready";
 }
@@ -112,19 +112,20 @@
     return true;
 }
 
-UpstreamNews EntryUpstreamFeed::newsFor(const FollowerState &follower) const
+UpstreamListUpdate EntryUpstreamFeed::updateFor(const FollowerState &follower) const
 {
-    return follower.newsFor(feed(), m_context.now());
+    return follower.updateFor(feed(), m_context.now());
 }
 
-bool EntryUpstreamFeed::takeNews(const UpstreamNews &news, ToldAge age, std::string_view reader)
+bool EntryUpstreamFeed::takeNews(const UpstreamListUpdate &news, ToldAge age,
+                                 std::string_view reader)
 {
-    const UpstreamFeed::Taking taking = m_following.takeNews(news, age, m_context.now());
-    if (taking == UpstreamFeed::Taking::Taken)
+    const UpstreamFeed::ApplyResult taking = m_following.takeNews(news, age, m_context.now());
+    if (taking == UpstreamFeed::ApplyResult::Taken)
         publish(reader);
     else
         publishStanding();
-    return taking != UpstreamFeed::Taking::Lacking;
+    return taking != UpstreamFeed::ApplyResult::ChangesMissing;
 }
 
 /// Says once of each entry that it can't be read.
@@ -182,7 +183,7 @@
 /// Tells the traffic thread how old the list in use is, and whether it can be had any newer.
 void EntryUpstreamFeed::publishStanding()
 {
-    const PlacementTerm term(m_context.m_settings.m_bounds.m_leavingApply);
+    const PlacementDeadline term(m_context.m_settings.m_bounds.m_leavingApply);
     m_context.m_trafficLoop.spawn([this, term, standing = m_following.standing()] {
         m_context.m_traffic.setListStanding(standing, term);
     });
--- a/src/entry/peer_wire.cpp
+++ b/src/entry/peer_wire.cpp
@@ -68,10 +68,10 @@
     fillUsage(report.m_usage, digest);
 }
 
-void fillEnded(const std::vector<EndedUsage> &ended, const std::string &receiver,
+void fillEnded(const std::vector<EndedProcessUsage> &ended, const std::string &receiver,
                entrywire::EntryDigest &digest)
 {
-    for (const EndedUsage &process : ended) {
+    for (const EndedProcessUsage &process : ended) {
         if (process.m_process == receiver)
             continue;
         for (const auto &[account, count] : process.m_counts) {
--- a/src/entry/placement_call_term.hpp
+++ b/src/entry/placement_call_term.hpp
@@ -29,7 +29,7 @@
     /// take on an ordinary way.
     void noteLeaving()
     {
-        m_until = std::min(until(), m_traffic.now() + PlacementTerm::wayReserve);
+        m_until = std::min(until(), m_traffic.now() + PlacementDeadline::deliveryMargin);
         m_isRenewed = false;
         m_isLeaving = true;
         noteShortened();
@@ -38,7 +38,7 @@
     Duration left() const override { return until() - m_traffic.now(); }
     bool maySend(Duration connecting) const override
     {
-        return !m_isLeaving && PlacementTerm::maySend(until(), connecting, m_traffic.now());
+        return !m_isLeaving && PlacementDeadline::maySend(until(), connecting, m_traffic.now());
     }
 
 private:
--- a/src/entry/run_mover.cpp
+++ b/src/entry/run_mover.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 RunMover::RunMover(FiberLoop &loop, UpstreamClient &client, UpstreamPool &pool,
-                   RepeatAllowance &allowance, Logger &log, const DataCentreId &dataCentre,
+                   RetryBudgetShare &allowance, Logger &log, const DataCentreId &dataCentre,
                    const Clock &clock)
     : m_loop(loop)
     , m_client(client)
--- a/src/entry/run_mover.hpp
+++ b/src/entry/run_mover.hpp
@@ -24,7 +24,7 @@
 {
 public:
     RunMover(FiberLoop &loop, UpstreamClient &client, UpstreamPool &pool,
-             RepeatAllowance &allowance, Logger &log, const DataCentreId &dataCentre,
+             RetryBudgetShare &allowance, Logger &log, const DataCentreId &dataCentre,
              const Clock &clock);
 
     void add(const std::shared_ptr<StreamRun> &run) { m_runs.insert(run); }
@@ -41,7 +41,7 @@
     FiberLoop &m_loop;
     UpstreamClient &m_client;
     UpstreamPool &m_pool;
-    RepeatAllowance &m_allowance;
+    RetryBudgetShare &m_allowance;
     Logger &m_log;
     const DataCentreId &m_dataCentre;
     const Clock &m_clock;
--- a/src/entry/upstream_following.cpp
+++ b/src/entry/upstream_following.cpp
@@ -122,7 +122,7 @@
 
 void UpstreamFollowing::noteFailed(ReadingFailure failure)
 {
-    m_feed.storeFailed();
+    m_feed.onStoreUnavailable();
     m_isStoreLost = true;
     m_isHistoryGone = failure == ReadingFailure::HistoryGone;
     if (m_isHistoryGone)
@@ -138,12 +138,12 @@
     return true;
 }
 
-UpstreamFeed::Taking UpstreamFollowing::takeNews(const UpstreamNews &news, const ToldAge &age,
-                                                 TimePoint now)
+UpstreamFeed::ApplyResult UpstreamFollowing::takeNews(const UpstreamListUpdate &news,
+                                                      const ToldAge &age, TimePoint now)
 {
-    const UpstreamFeed::Taking taking = m_feed.take(news, now - age.m_atSending, now);
+    const UpstreamFeed::ApplyResult taking = m_feed.take(news, now - age.m_atSending, now);
     // An own list that is later holds all that the reader's was confirmed to hold.
-    if (taking != UpstreamFeed::Taking::Lacking)
+    if (taking != UpstreamFeed::ApplyResult::ChangesMissing)
         m_confirmation.take(age);
     return taking;
 }
--- a/src/ledger/order_lease.cpp
+++ b/src/ledger/order_lease.cpp
@@ -120,7 +120,7 @@
     m_unsettled.reset();
     m_missingSince.reset();
     m_seen = Seen{version, m_settings.m_holder, m_settings.m_duration, m_releasing, m_writtenAt};
-    m_nextTry = m_writtenAt + m_settings.m_renewEvery;
+    m_nextTry = m_writtenAt + m_settings.m_renewInterval;
     if (m_releasing) {
         m_held.reset();
         return;
--- a/src/serving/duty_lease.cpp
+++ b/src/serving/duty_lease.cpp
@@ -11,16 +11,16 @@
     , m_incarnation(incarnation)
 {}
 
-LeaseStep DutyLease::next(TimePoint now)
+LeaseAction DutyLease::next(TimePoint now)
 {
     if (m_hasResigned)
-        return LeaveLease{};
+        return NoLeaseAction{};
     if (!m_hasRead || m_isUnsure)
         return ReadLease{};
     LeaseRecord wanted{m_self, m_incarnation, m_seen.m_fence, m_seen.m_revision};
     if (m_isHeld) {
-        if (now < m_heldSince + m_settings.m_renewEvery)
-            return LeaveLease{};
+        if (now < m_heldSince + m_settings.m_renewInterval)
+            return NoLeaseAction{};
         // A term that ran out unrenewed is never taken up again under the same number: another may
         // have acted since, and the write below would fail; reading first tells.
         if (now >= m_heldSince + m_settings.m_term) {
@@ -29,12 +29,12 @@
         }
         return WriteLease{wanted};
     }
-    const Duration standstill = m_settings.m_term + m_settings.m_patience;
+    const Duration standstill = m_settings.m_term + m_settings.m_takeoverDelay;
     if (m_seen.m_revision != 0 && now < m_unchangedSince + standstill)
-        return LeaveLease{};
+        return NoLeaseAction{};
     // What was read long ago may have changed since: a second look costs one call and spares a
     // refused write.
-    if (now > m_readAt + m_settings.m_patience)
+    if (now > m_readAt + m_settings.m_takeoverDelay)
         return ReadLease{};
     wanted.m_fence = m_seen.m_fence + 1;
     return WriteLease{wanted};
@@ -68,7 +68,7 @@
     m_isUnsure = true;
 }
 
-void DutyLease::onHolderHeard(std::int64_t fence, std::int64_t revision, TimePoint now)
+void DutyLease::onHolderReport(std::int64_t fence, std::int64_t revision, TimePoint now)
 {
     if (revision <= m_seen.m_revision)
         return;
--- a/src/serving/first_event_forecast.cpp
+++ b/src/serving/first_event_forecast.cpp
@@ -23,9 +23,9 @@
 
 } // namespace
 
-void FirstEventForecaster::notePlaced(const ServiceId &service, int priority,
-                                      std::int64_t promptTokens, std::int64_t ownTokens,
-                                      TimePoint now)
+void FirstEventForecaster::recordPlacement(const ServiceId &service, int priority,
+                                           std::int64_t promptTokens, std::int64_t ownTokens,
+                                           TimePoint now)
 {
     Mix &mix = m_mixes[service];
     mix.m_requests.add(1, now);
@@ -62,7 +62,7 @@
     if (request.m_speed <= 0 || forecast.m_reportAge > oldestReport)
         return std::nullopt;
     const std::optional<double> part = partAhead(request, now);
-    const std::optional<std::int64_t> pending = pool.leastPendingTokens(request.m_placement, now);
+    const std::optional<std::int64_t> pending = pool.minPendingTokens(request.m_placement, now);
     if (!part || !pending)
         return std::nullopt;
     const double ahead = *part * static_cast<double>(*pending);
@@ -81,8 +81,8 @@
     return toSeconds(forecast.m_wait) > uncertainty * toSeconds(timeLeft);
 }
 
-Duration FirstEventForecaster::untilRoom(const FirstEventForecast &forecast, const RoomTerms &terms,
-                                         double draw)
+Duration FirstEventForecaster::timeUntilCapacity(const FirstEventForecast &forecast,
+                                                 const CapacityTimeInputs &terms, double draw)
 {
     Duration room = forecast.m_wait - terms.m_latencyTarget;
     if (terms.m_bootTime)
--- a/src/serving/fleet_quota.cpp
+++ b/src/serving/fleet_quota.cpp
@@ -56,14 +56,14 @@
     return std::max((used * tolerated - capacityOf(account)) / window, 0.0);
 }
 
-void FleetQuota::setPeerUse(const std::string &node, std::map<AccountId, ReportedUse> uses,
-                            TimePoint now)
+void FleetQuota::setPeerUsage(const std::string &node, std::map<AccountId, ReportedUsage> uses,
+                              TimePoint now)
 {
     noteHeard(now);
     const auto [entry, isNew] = m_peers.try_emplace(node);
     Peer &peer = entry->second;
     const Duration silence = now - std::exchange(peer.m_heardAt, now);
-    const std::map<AccountId, ReportedUse> before = std::exchange(peer.m_uses, std::move(uses));
+    const std::map<AccountId, ReportedUsage> before = std::exchange(peer.m_uses, std::move(uses));
     if (isNew)
         return;
     const double kept = toSeconds(std::max(silence - silenceLimit(), Duration::zero()));
@@ -81,13 +81,13 @@
     }
 }
 
-std::map<AccountId, ReportedUse> FleetQuota::ownUse(TimePoint now)
+std::map<AccountId, ReportedUsage> FleetQuota::localUsage(TimePoint now)
 {
-    std::map<AccountId, ReportedUse> result;
+    std::map<AccountId, ReportedUsage> result;
     for (auto &[account, bucket] : m_buckets) {
         const double demand = bucket.m_demand.sum(now) / toSeconds(demandSpan);
         if (bucket.m_admittedTotal > 0 || demand > 0)
-            result[account] = ReportedUse{bucket.m_admittedTotal, demand};
+            result[account] = ReportedUsage{bucket.m_admittedTotal, demand};
     }
     return result;
 }
@@ -95,7 +95,7 @@
 FleetQuota::Fleet FleetQuota::lookAround(TimePoint now)
 {
     std::erase_if(m_peers, [this, now](const auto &peer) {
-        return now - peer.second.m_heardAt > m_settings.m_peerForgotten;
+        return now - peer.second.m_heardAt > m_settings.m_peerRemovalTimeout;
     });
     Fleet fleet;
     const std::size_t known = m_peers.size() + 1;
--- a/src/serving/prompt_news.cpp
+++ b/src/serving/prompt_news.cpp
@@ -20,13 +20,13 @@
 
 } // namespace
 
-void PromptNews::setFleet(std::size_t vms, bool isSpreadOut)
+void PromptAnnouncer::setFleet(std::size_t vms, bool isSpreadOut)
 {
     m_vms = std::max<std::size_t>(vms, 1);
     m_isSpreadOut = isSpreadOut;
 }
 
-bool PromptNews::isTold(double ownTokens, double speed, TimePoint now)
+bool PromptAnnouncer::shouldAnnounce(double ownTokens, double speed, TimePoint now)
 {
     while (!m_placed.empty() && now - m_placed.front().m_at > rankedSpan)
         m_placed.pop_front();
@@ -40,7 +40,7 @@
 }
 
 /// Tells whether a prompt is one of those that this VM has words for.
-bool PromptNews::isAmongLongest(double ownTokens) const
+bool PromptAnnouncer::isAmongLongest(double ownTokens) const
 {
     const double words = wordsPerSecond * toSeconds(rankedSpan) / static_cast<double>(m_vms);
     const auto longer =
--- a/src/serving/prompt_reading.cpp
+++ b/src/serving/prompt_reading.cpp
@@ -30,12 +30,12 @@
 
 } // namespace
 
-void PromptReading::notePlaced(std::int64_t ownTokens, TimePoint now)
+void PrefillEstimator::recordPlacement(std::int64_t ownTokens, TimePoint now)
 {
     m_demand.add(static_cast<double>(ownTokens), now);
 }
 
-void PromptReading::noteAlone(std::int64_t ownTokens, Duration wait)
+void PrefillEstimator::recordUncontended(std::int64_t ownTokens, Duration wait)
 {
     if (ownTokens < leastTokens || wait <= Duration::zero())
         return;
@@ -45,7 +45,7 @@
 }
 
 /// Returns the speeds if all of a wait were spent on reading.
-std::vector<double> PromptReading::wholeSpeeds(const std::deque<Sample> &samples)
+std::vector<double> PrefillEstimator::wholeSpeeds(const std::deque<Sample> &samples)
 {
     std::vector<double> speeds;
     speeds.reserve(samples.size());
@@ -57,7 +57,7 @@
 /// Returns the speeds by what the longer half of the prompts took beyond the quickest, whose wait
 /// is nearly the part that is the same for all. Prompts about as long as the quickest one show how
 /// waits vary, not how they grow.
-std::vector<double> PromptReading::speedsBeyondQuickest(const std::deque<Sample> &samples)
+std::vector<double> PrefillEstimator::speedsBeyondQuickest(const std::deque<Sample> &samples)
 {
     const auto quickest = std::min_element(samples.begin(), samples.end(),
                                            [](const Sample &left, const Sample &right) {
@@ -79,7 +79,7 @@
 
 /// Returns the speed that the requests kept show, 0 if they are too few. Where lengths differ too
 /// little for a comparison, all of a wait counts as reading, which is at most too slow.
-double PromptReading::speed() const
+double PrefillEstimator::speed() const
 {
     if (m_samples.size() < fewestSpeeds)
         return 0;
@@ -90,32 +90,32 @@
     return std::max(whole, quantileOf(std::move(beyond), takenQuantile));
 }
 
-ReadingRate PromptReading::rate(TimePoint now)
+PrefillRate PrefillEstimator::rate(TimePoint now)
 {
-    ReadingRate rate;
+    PrefillRate rate;
     rate.m_demand = m_demand.sum(now) / toSeconds(demandSpan);
     rate.m_speed = speed();
     return rate;
 }
 
-std::map<ServiceId, ReadingRate> FleetReading::ownRates(TimePoint now)
+std::map<ServiceId, PrefillRate> FleetPrefillRates::ownRates(TimePoint now)
 {
-    std::map<ServiceId, ReadingRate> rates;
+    std::map<ServiceId, PrefillRate> rates;
     for (auto &[service, reading] : m_own)
         rates[service] = reading.rate(now);
     return rates;
 }
 
-void FleetReading::setPeer(const std::string &node, std::map<ServiceId, ReadingRate> rates)
+void FleetPrefillRates::setPeer(const std::string &node, std::map<ServiceId, PrefillRate> rates)
 {
     m_peers[node] = std::move(rates);
 }
 
-std::map<ServiceId, ReadingRate> FleetReading::fleetRates(TimePoint now)
+std::map<ServiceId, PrefillRate> FleetPrefillRates::fleetRates(TimePoint now)
 {
-    std::map<ServiceId, ReadingRate> fleet;
+    std::map<ServiceId, PrefillRate> fleet;
     std::map<ServiceId, std::vector<double>> speeds;
-    const auto add = [&](const std::map<ServiceId, ReadingRate> &rates) {
+    const auto add = [&](const std::map<ServiceId, PrefillRate> &rates) {
         for (const auto &[service, rate] : rates) {
             fleet[service].m_demand += rate.m_demand;
             if (rate.m_speed > 0)
--- a/src/serving/repeat_allowance.cpp
+++ b/src/serving/repeat_allowance.cpp
@@ -12,17 +12,17 @@
 
 } // namespace
 
-RepeatAllowance::Use &RepeatAllowance::useOf(const ServiceId &service)
+RetryBudgetShare::Use &RetryBudgetShare::useOf(const ServiceId &service)
 {
     return m_uses.try_emplace(service, m_settings.m_window).first->second;
 }
 
-void RepeatAllowance::noteRequest(const ServiceId &service, TimePoint now)
+void RetryBudgetShare::noteRequest(const ServiceId &service, TimePoint now)
 {
     useOf(service).m_requests.add(1, now);
 }
 
-double RepeatAllowance::left(const ServiceId &service, TimePoint now)
+double RetryBudgetShare::left(const ServiceId &service, TimePoint now)
 {
     Use &use = useOf(service);
     const double allowed =
@@ -30,7 +30,7 @@
     return spentPart * allowed - use.m_repeats.sum(now);
 }
 
-bool RepeatAllowance::tryTake(const ServiceId &service, TimePoint now)
+bool RetryBudgetShare::tryTake(const ServiceId &service, TimePoint now)
 {
     if (left(service, now) < 1)
         return false;
@@ -38,7 +38,7 @@
     return true;
 }
 
-void RepeatAllowance::setFleetSize(std::size_t nodes)
+void RetryBudgetShare::setFleetSize(std::size_t nodes)
 {
     m_fleetSize = std::max(1.0, static_cast<double>(nodes));
 }
--- a/src/serving/scale_planner.cpp
+++ b/src/serving/scale_planner.cpp
@@ -116,7 +116,7 @@
     if (const auto &engine = input.m_service->m_engine)
         perEngine = std::min(perEngine, std::max(1.0, slotsInUse * engine->m_slots));
     const int byRunning = static_cast<int>(std::ceil(input.m_running / perEngine));
-    const ReadingRate &reading = input.m_reading;
+    const PrefillRate &reading = input.m_reading;
     const auto byReading = [&reading](double load) {
         return static_cast<int>(std::ceil(reading.m_demand / (reading.m_speed * load)));
     };
@@ -201,7 +201,7 @@
     return orders;
 }
 
-void ScalePlanner::noteRefused(const ScaleOrder &order, TimePoint now)
+void ScalePlanner::recordRefusal(const ScaleOrder &order, TimePoint now)
 {
     m_refusedAt[{order.m_service, order.m_dataCentre}] = now;
     m_states[order.m_service].m_reclaimedAt = now;
--- a/src/serving/serving_view.cpp
+++ b/src/serving/serving_view.cpp
@@ -40,7 +40,7 @@
 
 void ServingView::notePause(const ServingRoute &route)
 {
-    if (route.m_kind != RepeatKind::Stream || route.m_pauseTarget <= Duration::zero())
+    if (route.m_kind != RouteRepeatSafety::Stream || route.m_pauseTarget <= Duration::zero())
         return;
     for (const WeightedService &target : route.m_services) {
         Duration &shortest =
--- a/src/serving/steady_wall_clock.cpp
+++ b/src/serving/steady_wall_clock.cpp
@@ -48,7 +48,7 @@
         m_least = median;
 }
 
-WallMillis SteadyWallClock::followPeers(std::vector<WallMillis> offsets)
+WallMillis SteadyWallClock::adjustToPeers(std::vector<WallMillis> offsets)
 {
     if (offsets.size() < fewestPeers || !m_offset)
         return 0;
--- a/src/serving/upstream_feed.cpp
+++ b/src/serving/upstream_feed.cpp
@@ -49,7 +49,7 @@
     m_list.m_unusable.erase(record.m_id);
     const bool isBack = m_vanished.erase(record.m_id) > 0;
     if (isBack || known == m_list.m_upstreams.end() || !isSameForRouting(known->second, record))
-        m_history.noteChanged(record.m_id);
+        m_history.recordChange(record.m_id);
     m_list.m_upstreams[record.m_id] = record;
 }
 
@@ -64,7 +64,7 @@
     if (known == m_list.m_upstreams.end())
         return;
     if (keepsVanished(known->second, now)) {
-        known->second.m_isKept = true;
+        known->second.m_isRetained = true;
         m_vanished.try_emplace(id, m_returnedAt + returnTime);
         return;
     }
@@ -90,7 +90,7 @@
             continue;
         if (listed->second.m_startedAt > 0) {
             listed->second = known;
-            listed->second.m_isKept = false;
+            listed->second.m_isRetained = false;
             continue;
         }
         list.m_upstreams.erase(listed);
@@ -110,11 +110,11 @@
             m_vanished.erase(id);
             continue;
         }
-        list.m_upstreams.emplace(id, record).first->second.m_isKept = true;
+        list.m_upstreams.emplace(id, record).first->second.m_isRetained = true;
         m_vanished.try_emplace(id, m_returnedAt + returnTime);
     }
     m_list = std::move(list);
-    m_history.noteReplaced();
+    m_history.recordReplacement();
 }
 
 bool UpstreamFeed::replaceAll(UpstreamList list, TimePoint now)
@@ -152,22 +152,22 @@
     }
 }
 
-UpstreamFeed::Taking UpstreamFeed::take(const UpstreamNews &news, TimePoint confirmedAt,
-                                        TimePoint now)
+UpstreamFeed::ApplyResult UpstreamFeed::take(const UpstreamListUpdate &news, TimePoint confirmedAt,
+                                             TimePoint now)
 {
     const bool isWhole = !news.m_sinceRevision;
     if (!isWhole && (!isKnown() || m_list.m_revision < *news.m_sinceRevision))
-        return Taking::Lacking;
+        return ApplyResult::ChangesMissing;
     // Changes up to an older revision are part of what this list was read or told with.
     if (news.m_revision < m_list.m_revision)
-        return Taking::Older;
-    if (news.m_returnedAgo && (!isKnown() || mayHaveLapsed(confirmedAt)))
-        m_returnedAt = std::max(m_returnedAt, now - *news.m_returnedAgo);
+        return ApplyResult::Older;
+    if (news.m_storeReturnedAgo && (!isKnown() || mayHaveLapsed(confirmedAt)))
+        m_returnedAt = std::max(m_returnedAt, now - *news.m_storeReturnedAgo);
     // Taken once more, it would be news for whoever told it.
     const bool isHeldAlready = isKnown() && news.m_revision == m_list.m_revision;
     if (isHeldAlready) {
         m_confirmedAt = std::max(m_confirmedAt, confirmedAt);
-        return Taking::Taken;
+        return ApplyResult::Taken;
     }
     if (isWhole) {
         UpstreamList list;
@@ -183,13 +183,13 @@
     }
     m_list.m_revision = news.m_revision;
     m_confirmedAt = std::max(m_confirmedAt, confirmedAt);
-    return Taking::Taken;
+    return ApplyResult::Taken;
 }
 
 std::map<UpstreamId, UpstreamRecord> UpstreamFeed::present() const
 {
     std::map<UpstreamId, UpstreamRecord> present = m_list.m_upstreams;
-    std::erase_if(present, [this](const auto &entry) { return isKept(entry.first); });
+    std::erase_if(present, [this](const auto &entry) { return isRetained(entry.first); });
     return present;
 }
 
--- a/src/serving/upstream_history.cpp
+++ b/src/serving/upstream_history.cpp
@@ -23,7 +23,7 @@
         forgetOldest();
 }
 
-void UpstreamHistory::noteReplaced()
+void UpstreamHistory::recordReplacement()
 {
     m_entries.clear();
     m_goneCount = 0;
--- a/src/serving/upstream_news.cpp
+++ b/src/serving/upstream_news.cpp
@@ -14,18 +14,18 @@
 
 } // namespace
 
-UpstreamNews FollowerState::newsFor(const UpstreamFeed &list, TimePoint now) const
+UpstreamListUpdate FollowerState::updateFor(const UpstreamFeed &list, TimePoint now) const
 {
     const auto &upstreams = list.upstreams();
-    UpstreamNews news;
+    UpstreamListUpdate news;
     news.m_revision = list.revision();
     news.m_newestChange = list.history().newest();
-    if (list.returnedAt() != TimePoint{})
-        news.m_returnedAgo = now - list.returnedAt();
+    if (list.storeReturnedAt() != TimePoint{})
+        news.m_storeReturnedAgo = now - list.storeReturnedAt();
     const auto differences = m_isKnown ? list.history().since(m_change) : std::nullopt;
     if (!differences) {
         for (const auto &[id, record] : upstreams) {
-            if (!list.isKept(id))
+            if (!list.isRetained(id))
                 news.m_changes.push_back({record, UpstreamChangeKind::Present});
         }
         for (const UpstreamId &id : list.unusable())
@@ -43,7 +43,7 @@
     return news;
 }
 
-void FollowerState::onTaken(const UpstreamNews &news)
+void FollowerState::onApplied(const UpstreamListUpdate &news)
 {
     m_change = news.m_newestChange;
     m_revision = news.m_revision;
--- a/src/serving/upstream_pool.cpp
+++ b/src/serving/upstream_pool.cpp
@@ -105,7 +105,7 @@
 /// Tokens beyond what a pause may hold count once for each stream that waits.
 double pauseCost(const PooledUpstream &upstream, double ownTokens, const Comparison &comparison)
 {
-    const double pauseTokens = comparison.m_request.m_pauseTokens;
+    const double pauseTokens = comparison.m_request.m_maxPauseTokens;
     if (pauseTokens <= 0)
         return 0;
     const double beyond = comparison.pendingTokens(upstream) + ownTokens - pauseTokens;
@@ -200,8 +200,8 @@
         (isNear ? near : away).emplace(drawn, std::move(candidate));
     }
     const std::size_t fromNear =
-            std::min(near.size(), request.m_isTold ? drawnNearIfTold : drawnNear);
-    const std::size_t inAll = request.m_isTold ? drawnInAllIfTold : drawnInAll;
+            std::min(near.size(), request.m_isAnnounced ? drawnNearIfTold : drawnNear);
+    const std::size_t inAll = request.m_isAnnounced ? drawnInAllIfTold : drawnInAll;
     takeFirst(near, fromNear, sample);
     takeFirst(away, inAll - fromNear, sample);
     return sample;
@@ -214,7 +214,7 @@
     // Engines read one prompt after the other.
     double unread = 0;
     TimePoint readUntil{};
-    for (const ToldPrompts &told : m_othersPrompts) {
+    for (const ReportedPrompts &told : m_peerPrompts) {
         unread = std::max(0.0, unread - speed * toSeconds(told.m_at - readUntil));
         unread += static_cast<double>(told.m_tokens);
         readUntil = told.m_at;
@@ -338,7 +338,7 @@
     sumPeerLoads();
 }
 
-void UpstreamPool::forgetPeer(const std::string &node)
+void UpstreamPool::removePeer(const std::string &node)
 {
     if (m_peerLoads.erase(node) > 0)
         sumPeerLoads();
@@ -347,8 +347,8 @@
 void UpstreamPool::sumPeerLoads()
 {
     for (auto &[id, pooled] : m_upstreams) {
-        pooled->m_others = InFlightLoad{};
-        pooled->m_othersPrompts.clear();
+        pooled->m_peerTotal = InFlightLoad{};
+        pooled->m_peerPrompts.clear();
     }
     for (const auto &[node, peer] : m_peerLoads) {
         for (const auto &[id, told] : peer.m_loads) {
@@ -360,19 +360,19 @@
             addPeerLoad(*found->second, told);
         }
     }
-    const auto isEarlier = [](const ToldPrompts &left, const ToldPrompts &right) {
+    const auto isEarlier = [](const ReportedPrompts &left, const ReportedPrompts &right) {
         return left.m_at < right.m_at;
     };
     for (auto &[id, pooled] : m_upstreams)
-        std::sort(pooled->m_othersPrompts.begin(), pooled->m_othersPrompts.end(), isEarlier);
+        std::sort(pooled->m_peerPrompts.begin(), pooled->m_peerPrompts.end(), isEarlier);
 }
 
 void UpstreamPool::addPeerLoad(PooledUpstream &upstream, const ToldLoad &told)
 {
-    upstream.m_others.m_running += told.m_load.m_running;
-    upstream.m_others.m_pendingTokens += told.m_load.m_pendingTokens;
+    upstream.m_peerTotal.m_running += told.m_load.m_running;
+    upstream.m_peerTotal.m_pendingTokens += told.m_load.m_pendingTokens;
     if (told.m_load.m_pendingTokens > 0)
-        upstream.m_othersPrompts.push_back({told.m_at, told.m_load.m_pendingTokens});
+        upstream.m_peerPrompts.push_back({told.m_at, told.m_load.m_pendingTokens});
 }
 
 Duration UpstreamPool::reportAge(TimePoint now) const
@@ -391,11 +391,11 @@
         if (!isCandidate(*pooled, request))
             continue;
         candidates.push_back(pooled);
-        kept += pooled->m_record.m_isKept ? 1 : 0;
+        kept += pooled->m_record.m_isRetained ? 1 : 0;
     }
-    if (!usesKept(kept, candidates.size())) {
+    if (!usesRetained(kept, candidates.size())) {
         std::erase_if(candidates, [](const PooledUpstreamPointer &candidate) {
-            return candidate->m_record.m_isKept;
+            return candidate->m_record.m_isRetained;
         });
     }
     return candidates;
@@ -415,8 +415,8 @@
     return cheapestOf(candidates, home, Comparison{request, m_areReportsOld, now});
 }
 
-std::optional<std::int64_t> UpstreamPool::leastPendingTokens(const PlacementRequest &request,
-                                                             TimePoint now) const
+std::optional<std::int64_t> UpstreamPool::minPendingTokens(const PlacementRequest &request,
+                                                           TimePoint now) const
 {
     std::optional<std::int64_t> least;
     for (const PooledUpstreamPointer &candidate : candidatesFor(request)) {
@@ -428,22 +428,22 @@
     return least;
 }
 
-void UpstreamPool::note(PooledUpstream &upstream, AttemptVerdict verdict, TimePoint now)
+void UpstreamPool::note(PooledUpstream &upstream, AttemptResult verdict, TimePoint now)
 {
     const bool isFailure =
-            verdict == AttemptVerdict::Broken || verdict == AttemptVerdict::ServerError;
+            verdict == AttemptResult::Broken || verdict == AttemptResult::ServerError;
     upstream.m_failureShare += failureWeight * ((isFailure ? 1.0 : 0.0) - upstream.m_failureShare);
-    if (verdict == AttemptVerdict::Good) {
+    if (verdict == AttemptResult::Good) {
         upstream.m_failuresInRow = 0;
         return;
     }
-    if (verdict == AttemptVerdict::Refused) {
+    if (verdict == AttemptResult::Refused) {
         upstream.m_avoidUntil = std::max(upstream.m_avoidUntil, now + shortestAvoid / 5);
         return;
     }
     ++upstream.m_failuresInRow;
     const bool isBroken =
-            verdict == AttemptVerdict::Broken && upstream.m_failuresInRow >= failuresInRowLimit;
+            verdict == AttemptResult::Broken && upstream.m_failuresInRow >= failuresInRowLimit;
     if (!isBroken && upstream.m_failureShare < failureLimit)
         return;
     const int doublings = std::clamp(upstream.m_failuresInRow - failuresInRowLimit, 0, 3);
--- a/src/serving/usage_counts.cpp
+++ b/src/serving/usage_counts.cpp
@@ -29,10 +29,10 @@
     Heard &heard = m_heard[node];
     if (incarnation >= heard.m_incarnation)
         heard = Heard{incarnation, now};
-    takeEnded({processName(node, incarnation), window, std::move(counts)});
+    mergeEnded({processName(node, incarnation), window, std::move(counts)});
 }
 
-void UsageCounts::takeEnded(const EndedUsage &ended)
+void UsageCounts::mergeEnded(const EndedProcessUsage &ended)
 {
     WindowCounts &known = m_peers[ended.m_window][ended.m_process];
     for (const auto &[account, count] : ended.m_counts) {
@@ -41,14 +41,14 @@
     }
 }
 
-std::vector<EndedUsage> UsageCounts::ended(TimePoint now) const
+std::vector<EndedProcessUsage> UsageCounts::ended(TimePoint now) const
 {
     std::set<std::string> speaking;
     for (const auto &[node, heard] : m_heard) {
         if (now - heard.m_at < silentAfter)
             speaking.insert(processName(node, heard.m_incarnation));
     }
-    std::vector<EndedUsage> result;
+    std::vector<EndedProcessUsage> result;
     for (const auto &[window, processes] : m_peers) {
         for (const auto &[process, counts] : processes) {
             if (!speaking.contains(process))
@@ -73,7 +73,7 @@
     return sum;
 }
 
-void UsageCounts::forgetBefore(WindowNumber window)
+void UsageCounts::removeBefore(WindowNumber window)
 {
     m_own.erase(m_own.begin(), m_own.lower_bound(window));
     m_peers.erase(m_peers.begin(), m_peers.lower_bound(window));
--- a/src/serving/usage_windows.cpp
+++ b/src/serving/usage_windows.cpp
@@ -40,9 +40,9 @@
     return (firstEnd + m_span - 1) / m_span - 1;
 }
 
-bool UsageWindows::isSettled(WindowNumber window, const Look &look) const
+bool UsageWindows::isSettled(WindowNumber window, const FleetObservation &look) const
 {
-    const bool isTold = look.m_allHeardSince >= endOf(window) + tellingTime;
+    const bool isTold = look.m_allReceivedSince >= endOf(window) + tellingTime;
     const WallMillis longestWait = std::max(millisOf(m_due) - reportMargin, tellingTime);
     return isTold || look.m_now >= endOf(window) + longestWait;
 }
@@ -50,8 +50,8 @@
 WindowCounts UsageWindows::known(WindowNumber window, const Heard &heard) const
 {
     WindowCounts counts = heard(window);
-    const auto noted = m_ledger.m_noted.find(window);
-    if (noted == m_ledger.m_noted.end())
+    const auto noted = m_ledger.m_provisional.find(window);
+    if (noted == m_ledger.m_provisional.end())
         return counts;
     for (const auto &[account, count] : noted->second) {
         std::int64_t &known = counts[account];
@@ -60,17 +60,18 @@
     return counts;
 }
 
-void UsageWindows::forgetBefore(WindowNumber window, UsageLedger &ledger)
+void UsageWindows::removeBefore(WindowNumber window, UsageLedger &ledger)
 {
     const auto forget = [](auto &windows, WindowNumber first) {
         windows.erase(windows.begin(), windows.lower_bound(first));
     };
-    forget(ledger.m_noted, window);
+    forget(ledger.m_provisional, window);
     forget(ledger.m_fixed, window - fixedKept);
     forget(m_sent, window - fixedKept);
 }
 
-std::optional<UsageLedger> UsageWindows::toStore(const Look &look, const Heard &heard)
+std::optional<UsageLedger> UsageWindows::ledgerToStore(const FleetObservation &look,
+                                                       const Heard &heard)
 {
     UsageLedger next = m_ledger;
     bool isWorthWriting = false;
@@ -84,22 +85,22 @@
             continue;
         if (isSettled(window, look)) {
             next.m_fixed[window] = std::move(counts);
-            next.m_noted.erase(window);
+            next.m_provisional.erase(window);
             isWorthWriting = true;
             continue;
         }
-        WindowCounts &noted = next.m_noted[window];
+        WindowCounts &noted = next.m_provisional[window];
         isWorthWriting = isWorthWriting || (mayNote && noted != counts);
         noted = std::move(counts);
     }
     if (!isWorthWriting)
         return std::nullopt;
-    forgetBefore(firstDue(look.m_now), next);
+    removeBefore(firstDue(look.m_now), next);
     m_notedAt = look.m_now;
     return next;
 }
 
-std::vector<UsageReport> UsageWindows::toSend(WallMillis now) const
+std::vector<UsageReport> UsageWindows::dueReports(WallMillis now) const
 {
     std::vector<UsageReport> reports;
     for (auto entry = m_ledger.m_fixed.lower_bound(firstDue(now)); entry != m_ledger.m_fixed.end();
--- a/tests/src/fuzz-duty-lease.cpp
+++ b/tests/src/fuzz-duty-lease.cpp
@@ -78,7 +78,7 @@
             vm.m_pausedUntil = m_now + Duration(500ms) * static_cast<int>(1 + m_random(14));
             return;
         }
-        const LeaseStep step = vm.m_lease.next(m_now);
+        const LeaseAction step = vm.m_lease.next(m_now);
         if (std::holds_alternative<ReadLease>(step))
             read(vm);
         else if (const auto *write = std::get_if<WriteLease>(&step))
@@ -118,7 +118,7 @@
         vm.m_lease.onWritten(*m_stored, m_now);
         for (Vm &other : m_vms) {
             if (&other != &vm && m_now >= other.m_pausedUntil && chance(80))
-                other.m_lease.onHolderHeard(m_stored->m_fence, m_stored->m_revision, m_now);
+                other.m_lease.onHolderReport(m_stored->m_fence, m_stored->m_revision, m_now);
         }
     }
 
--- a/tests/src/fuzz-fleet-quota.cpp
+++ b/tests/src/fuzz-fleet-quota.cpp
@@ -42,7 +42,7 @@
         for (std::size_t node = 0; node < nodes; ++node)
             m_nodes.push_back(std::make_unique<FleetQuota>(FleetQuotaSettings{}));
         for (const auto &node : m_nodes)
-            node->setExchangePace(stretch);
+            node->setExchangeStretch(stretch);
         exchangeAll();
     }
 
@@ -88,8 +88,8 @@
         settings.m_restartedAt = m_now;
         for (auto &node : m_nodes) {
             node = std::make_unique<FleetQuota>(settings);
-            node->setExchangePace(m_stretch);
-            node->setExpectedFleet(m_nodes.size());
+            node->setExchangeStretch(m_stretch);
+            node->setExpectedFleetSize(m_nodes.size());
         }
     }
 
@@ -113,10 +113,10 @@
 
     void tellAll(std::size_t from)
     {
-        const auto uses = m_nodes[from]->ownUse(m_now);
+        const auto uses = m_nodes[from]->localUsage(m_now);
         for (std::size_t to = 0; to < m_nodes.size(); ++to) {
             if (from != to && m_side[from] == m_side[to])
-                m_nodes[to]->setPeerUse(std::to_string(from), uses, m_now);
+                m_nodes[to]->setPeerUsage(std::to_string(from), uses, m_now);
         }
     }
 
--- a/tests/src/fuzz-store-news.cpp
+++ b/tests/src/fuzz-store-news.cpp
@@ -82,7 +82,7 @@
 {
     std::size_t m_reader = 0;
     int m_life = 0;
-    UpstreamNews m_news;
+    UpstreamListUpdate m_news;
 };
 
 class World
@@ -170,7 +170,7 @@
         if (!reader.m_feed.isKnown())
             return;
         m_messages.push_back(
-                {index, m_lives[index], reader.m_follower.newsFor(reader.m_feed, m_now)});
+                {index, m_lives[index], reader.m_follower.updateFor(reader.m_feed, m_now)});
     }
 
     /// Delivers a message of those under way; it stays under way as if doubled when unanswered.
@@ -187,10 +187,10 @@
         if (m_lives[message.m_reader] != message.m_life)
             return;
         FollowerState &state = m_readers[message.m_reader].m_follower;
-        if (taking == UpstreamFeed::Taking::Lacking)
-            state.onLacking();
+        if (taking == UpstreamFeed::ApplyResult::ChangesMissing)
+            state.onMissingChanges();
         else
-            state.onTaken(message.m_news);
+            state.onApplied(message.m_news);
     }
 
     void disturb(std::size_t reader, std::uint32_t how)
@@ -201,7 +201,7 @@
             m_readers[reader] = Reader();
             ++m_lives[reader];
         } else if (m_hasOutages) {
-            m_readers[reader].m_feed.storeFailed();
+            m_readers[reader].m_feed.onStoreUnavailable();
         }
     }
 
--- a/tests/src/fuzz-upstream-starts.cpp
+++ b/tests/src/fuzz-upstream-starts.cpp
@@ -107,7 +107,7 @@
             RC_ASSERT(upstream.m_record.m_startedAt == truth.m_start);
             RC_ASSERT(!upstream.m_isReplaced && !upstream.m_isGone);
             RC_ASSERT(upstream.m_own.m_running == heldAt(upstream));
-            RC_ASSERT(upstream.m_others.m_running == reportedFor(id, truth.m_start));
+            RC_ASSERT(upstream.m_peerTotal.m_running == reportedFor(id, truth.m_start));
         }
         // What a request holds stays the process that it was sent to.
         for (const Held &held : m_held)
--- a/tests/src/fuzz-usage-windows.cpp
+++ b/tests/src/fuzz-usage-windows.cpp
@@ -125,9 +125,9 @@
         const auto heard = [&process](WindowNumber window) {
             return process.m_counts.total(window);
         };
-        if (auto next = process.m_windows.toStore({m_now, allHeardSince}, heard))
+        if (auto next = process.m_windows.ledgerToStore({m_now, allHeardSince}, heard))
             write(process, *std::move(next));
-        for (const UsageReport &report : process.m_windows.toSend(m_now))
+        for (const UsageReport &report : process.m_windows.dueReports(m_now))
             send(process, report);
     }
 
@@ -136,7 +136,7 @@
         if (chance(20))
             return false;
         process.m_revision = m_stored.m_revision;
-        process.m_windows.onLedger(m_stored.m_ledger);
+        process.m_windows.setLedger(m_stored.m_ledger);
         return true;
     }
 
@@ -159,7 +159,7 @@
         if (!isDone || chance(10))
             return;
         process.m_revision = m_stored.m_revision;
-        process.m_windows.onLedger(std::move(next));
+        process.m_windows.setLedger(std::move(next));
     }
 
     void carryOutLateWrites()
@@ -185,7 +185,7 @@
         for (const auto &[account, count] : report.m_counts)
             RC_ASSERT(count <= begun.at(account));
         if (!chance(20))
-            process.m_windows.onSent(report.m_window);
+            process.m_windows.onReportAccepted(report.m_window);
     }
 
     pcg32 m_random;
--- a/tests/src/unit-duty-lease.cpp
+++ b/tests/src/unit-duty-lease.cpp
@@ -19,7 +19,7 @@
 }
 
 template <typename Step>
-bool is(const LeaseStep &step)
+bool is(const LeaseAction &step)
 {
     return std::holds_alternative<Step>(step);
 }
@@ -28,7 +28,7 @@
 LeaseRecord acquire(DutyLease &lease, TimePoint now)
 {
     lease.onRead(std::nullopt, now);
-    const LeaseStep step = lease.next(now);
+    const LeaseAction step = lease.next(now);
     REQUIRE(is<WriteLease>(step));
     LeaseRecord record = std::get<WriteLease>(step).m_record;
     record.m_revision = 1;
@@ -52,8 +52,8 @@
     SECTION("is renewed under its number")
     {
         acquire(a, start);
-        CHECK(is<LeaveLease>(a.next(start + 500ms)));
-        const LeaseStep step = a.next(start + 1s);
+        CHECK(is<NoLeaseAction>(a.next(start + 500ms)));
+        const LeaseAction step = a.next(start + 1s);
         REQUIRE(is<WriteLease>(step));
         CHECK(std::get<WriteLease>(step).m_record.m_fence == 1);
     }
@@ -72,10 +72,10 @@
         DutyLease b = makeLease("b");
         const LeaseRecord held = acquire(a, start);
         b.onRead(held, start);
-        CHECK(is<LeaveLease>(b.next(start + 3s)));
+        CHECK(is<NoLeaseAction>(b.next(start + 3s)));
         CHECK(is<ReadLease>(b.next(start + 3500ms)));
         b.onRead(held, start + 3500ms);
-        const LeaseStep step = b.next(start + 3500ms);
+        const LeaseAction step = b.next(start + 3500ms);
         REQUIRE(is<WriteLease>(step));
         CHECK(std::get<WriteLease>(step).m_record.m_fence == 2);
     }
@@ -84,8 +84,8 @@
         DutyLease b = makeLease("b");
         b.onRead(acquire(a, start), start);
         for (int second = 1; second < 20; ++second) {
-            b.onHolderHeard(1, 1 + second, start + second * 1s);
-            CHECK(is<LeaveLease>(b.next(start + second * 1s + 900ms)));
+            b.onHolderReport(1, 1 + second, start + second * 1s);
+            CHECK(is<NoLeaseAction>(b.next(start + second * 1s + 900ms)));
         }
     }
     SECTION("isn't acted on after a write whose answer was lost until it was read")
@@ -107,7 +107,7 @@
         acquire(a, start);
         a.resign();
         CHECK_FALSE(a.fence(start));
-        CHECK(is<LeaveLease>(a.next(start + 1h)));
+        CHECK(is<NoLeaseAction>(a.next(start + 1h)));
     }
 }
 
@@ -131,7 +131,7 @@
         const StoreRole role = isReader ? StoreRole::Reader : StoreRole::Follower;
         if (!contendsForLease(role, lease.fence(now).has_value()))
             return;
-        const LeaseStep next = lease.next(now);
+        const LeaseAction next = lease.next(now);
         if (is<ReadLease>(next)) {
             ++reads;
             lease.onRead(stored, now);
@@ -147,7 +147,7 @@
         for (std::size_t vm = 0; vm < vms; ++vm) {
             const Duration phase = heardEvery * static_cast<int>(vm) / static_cast<int>(vms);
             if ((now - start + phase) % heardEvery < tick)
-                leases[vm].onHolderHeard(stored.m_fence, stored.m_revision, now);
+                leases[vm].onHolderReport(stored.m_fence, stored.m_revision, now);
             step(vm, now);
         }
     }
--- a/tests/src/unit-entry-decisions.cpp
+++ b/tests/src/unit-entry-decisions.cpp
@@ -18,7 +18,7 @@
 
 TEST_CASE("a VM's part of the retry budget")
 {
-    RepeatAllowance allowance({0.2, 54, 10s});
+    RetryBudgetShare allowance({0.2, 54, 10s});
     allowance.setFleetSize(7);
 
     SECTION("is its ratio and its part of the slack")
@@ -35,7 +35,7 @@
     {
         int taken = 0;
         for (int vm = 0; vm < 7; ++vm) {
-            RepeatAllowance own({0.2, 54, 10s});
+            RetryBudgetShare own({0.2, 54, 10s});
             own.setFleetSize(7);
             while (own.tryTake(llm, start))
                 ++taken;
@@ -77,7 +77,7 @@
     {
         usage.add(huber, 1000);
         usage.setPeer("b", 1, 0, {{huber, 3}}, start);
-        usage.forgetBefore(1);
+        usage.removeBefore(1);
         CHECK(usage.total(0).empty());
     }
 }
@@ -97,14 +97,14 @@
     SECTION("follows the median of the peers where it began wrong, once they kept to it")
     {
         for (int exchange = 0; exchange < 11; ++exchange)
-            CHECK(clock.followPeers({-2400, -2390, 5000}) == 0);
-        CHECK(clock.followPeers({-2400, -2390, 5000}) == -2390);
+            CHECK(clock.adjustToPeers({-2400, -2390, 5000}) == 0);
+        CHECK(clock.adjustToPeers({-2400, -2390, 5000}) == -2390);
         CHECK(clock.read(start + 1s, 1003400) == 1001000 - 2390);
     }
     SECTION("follows them at once when the own time of day jumps back to theirs")
     {
         CHECK(clock.read(start + 1s, 998600) == 1001000);
-        CHECK(clock.followPeers({-2400, -2390, 5000}) == -2390);
+        CHECK(clock.adjustToPeers({-2400, -2390, 5000}) == -2390);
         CHECK(clock.read(start + 1s, 998600) == 1001000 - 2390);
     }
     SECTION("doesn't walk backwards while all messages wait for seconds")
@@ -113,27 +113,27 @@
         // VM followed each time, and all clocks walked backwards by up to ten seconds.
         for (int exchange = 0; exchange < 100; ++exchange) {
             const WallMillis delay = exchange % 10 == 0 ? 300 : 800 + 100 * (exchange % 10);
-            CHECK(clock.followPeers({-delay, -delay - 200, -delay + 100}) == 0);
+            CHECK(clock.adjustToPeers({-delay, -delay - 200, -delay + 100}) == 0);
         }
         CHECK(clock.read(start + 25s, 1025000) == 1025000);
     }
     SECTION("follows by the least that the peers said")
     {
         for (int exchange = 0; exchange < 11; ++exchange)
-            clock.followPeers({-2400 - 100 * exchange, -2400 - 100 * exchange});
-        CHECK(clock.followPeers({-5000, -5000}) == -2400);
+            clock.adjustToPeers({-2400 - 100 * exchange, -2400 - 100 * exchange});
+        CHECK(clock.adjustToPeers({-5000, -5000}) == -2400);
     }
     SECTION("doesn't drift after peers whose messages are under way for a while")
     {
         // Readings of peers are old by the time they come. Followed each time, all clocks would
         // walk backwards together, and usage was off by up to a third.
         for (int exchange = 0; exchange < 100; ++exchange)
-            clock.followPeers({-250, -180, -90});
+            clock.adjustToPeers({-250, -180, -90});
         CHECK(clock.read(start + 1s, 1001000) == 1001000);
     }
     SECTION("doesn't follow a single peer")
     {
-        clock.followPeers({-5000});
+        clock.adjustToPeers({-5000});
         CHECK(clock.read(start + 1s, 1001000) == 1001000);
     }
 }
@@ -193,14 +193,14 @@
 
     UsageCounts younger(5s);
     younger.setPeer("b", 2, 0, {{huber, 2}}, start + 1s);
-    for (const EndedUsage &ended : elder.ended(start + 1s))
-        younger.takeEnded(ended);
+    for (const EndedProcessUsage &ended : elder.ended(start + 1s))
+        younger.mergeEnded(ended);
     CHECK(younger.total(0).at(huber) == 5);
 
     SECTION("once, whoever tells, and never less than was known")
     {
-        younger.takeEnded({"b/1", 0, {{huber, 1}}});
-        younger.takeEnded({"b/1", 0, {{huber, 3}}});
+        younger.mergeEnded({"b/1", 0, {{huber, 1}}});
+        younger.mergeEnded({"b/1", 0, {{huber, 3}}});
         CHECK(younger.total(0).at(huber) == 5);
     }
     SECTION("also those of a VM that fell silent")
@@ -318,12 +318,13 @@
         // where 15 are needed.
         rule.m_most = 40;
         service.m_scaling = rule;
-        PromptReading reading;
+        PrefillEstimator reading;
         for (int time = 0; time < 4; ++time) {
             for (const int tokens : {800, 1400, 2800, 5800})
-                reading.noteAlone(tokens, 30ms + std::chrono::microseconds(tokens * 1000 / 150));
+                reading.recordUncontended(tokens,
+                                          30ms + std::chrono::microseconds(tokens * 1000 / 150));
         }
-        reading.notePlaced(11'200'000, start);
+        reading.recordPlacement(11'200'000, start);
         input.m_reading = reading.rate(start);
         for (const char *dataCentre : {"a", "b", "c"}) {
             for (int engine = 0; engine < 20; ++engine)
@@ -352,7 +353,7 @@
     }
     SECTION("are not repeated at once where they were refused")
     {
-        planner.noteRefused({llm, DataCentreId("a"), true, 5}, start);
+        planner.recordRefusal({llm, DataCentreId("a"), true, 5}, start);
         const int without = ordered(true, start + 1s);
         CHECK(without < ordered(true, start + 3s));
     }
--- a/tests/src/unit-entry-news-pace.cpp
+++ b/tests/src/unit-entry-news-pace.cpp
@@ -49,7 +49,7 @@
     {
         pause.onMissed(start);
         pause.onMissed(start);
-        pause.onTaken();
+        pause.onApplied();
         CHECK(pause.isOver(start));
         pause.onMissed(start);
         CHECK(pause.isOver(start + 250ms));
--- a/tests/src/unit-entry-peers.cpp
+++ b/tests/src/unit-entry-peers.cpp
@@ -502,7 +502,8 @@
     }
     SECTION("with what ended processes counted, but not the receiver's own")
     {
-        const std::vector<EndedUsage> ended = {{"b/1", 3, {{huber, 4}}}, {"c/1", 3, {{huber, 5}}}};
+        const std::vector<EndedProcessUsage> ended = {{"b/1", 3, {{huber, 4}}},
+                                                      {"c/1", 3, {{huber, 5}}}};
         fillEnded(ended, "b/1", digest);
         const PeerReport read = reportOf(digest, 1000);
         REQUIRE(read.m_endedUsage.size() == 1);
--- a/tests/src/unit-entry-upstream-following.cpp
+++ b/tests/src/unit-entry-upstream-following.cpp
@@ -24,9 +24,9 @@
     return list;
 }
 
-UpstreamNews newsAt(std::int64_t revision)
+UpstreamListUpdate newsAt(std::int64_t revision)
 {
-    UpstreamNews news;
+    UpstreamListUpdate news;
     news.m_revision = revision;
     news.m_changes.push_back({recordOf("a"), UpstreamChangeKind::Present});
     return news;
--- a/tests/src/unit-first-event-forecast.cpp
+++ b/tests/src/unit-first-event-forecast.cpp
@@ -53,7 +53,7 @@
 void noteMix(FirstEventForecaster &forecaster, int count, TimePoint now)
 {
     for (int request = 0; request < count; ++request)
-        forecaster.notePlaced(llm, request % 2 == 0 ? 1 : 5, 2000, 1000, now);
+        forecaster.recordPlacement(llm, request % 2 == 0 ? 1 : 5, 2000, 1000, now);
 }
 
 } // namespace
@@ -128,7 +128,7 @@
         CHECK_FALSE(forecastOf(requestOf(2000, 0, 5), start + 9s));
         pool.setPeerLoad("peer", {}, start - 600ms);
         CHECK_FALSE(forecastOf(requestOf(2000, 0, 5)));
-        pool.forgetPeer("peer");
+        pool.removePeer("peer");
         pool.update({});
         CHECK_FALSE(forecastOf(requestOf(2000, 0, 5)));
     }
@@ -150,22 +150,22 @@
     CHECK_FALSE(FirstEventForecaster::isTooLate(forecast, 3200ms));
     CHECK_FALSE(FirstEventForecaster::isTooLate(forecast, 12s));
 
-    RoomTerms terms;
+    CapacityTimeInputs terms;
     terms.m_latencyTarget = 500ms;
     SECTION("it comes back when what waits has been read, spread over half as long again")
     {
-        CHECK(FirstEventForecaster::untilRoom(forecast, terms, 0) == 2000ms);
-        CHECK(FirstEventForecaster::untilRoom(forecast, terms, 1) == 3000ms);
+        CHECK(FirstEventForecaster::timeUntilCapacity(forecast, terms, 0) == 2000ms);
+        CHECK(FirstEventForecaster::timeUntilCapacity(forecast, terms, 1) == 3000ms);
     }
     SECTION("or when engines that were ordered have booted")
     {
         terms.m_bootTime = 1s;
-        CHECK(FirstEventForecaster::untilRoom(forecast, terms, 0) == 1000ms);
+        CHECK(FirstEventForecaster::timeUntilCapacity(forecast, terms, 0) == 1000ms);
     }
     SECTION("but not at once")
     {
         terms.m_latencyTarget = 9s;
-        CHECK(FirstEventForecaster::untilRoom(forecast, terms, 0) == 150ms);
+        CHECK(FirstEventForecaster::timeUntilCapacity(forecast, terms, 0) == 150ms);
     }
 }
 
@@ -277,8 +277,8 @@
         const PooledUpstreamPointer upstream = m_pool.choose(request.m_placement, now);
         upstream->m_own.m_pendingTokens += asked.m_promptTokens;
         ++upstream->m_own.m_running;
-        m_forecaster.notePlaced(llm, asked.m_priority, asked.m_promptTokens,
-                                asked.m_promptTokens - asked.m_sharedTokens, now);
+        m_forecaster.recordPlacement(llm, asked.m_priority, asked.m_promptTokens,
+                                     asked.m_promptTokens - asked.m_sharedTokens, now);
         m_engines[upstream->m_record.m_id].m_waiting.push_back(asked);
     }
 
@@ -289,9 +289,9 @@
         if (asked.m_hasReturned)
             return;
         m_draw = m_draw >= 0.9 ? 0 : m_draw + 0.1;
-        RoomTerms terms;
+        CapacityTimeInputs terms;
         terms.m_latencyTarget = asked.m_latencyTarget;
-        const Duration told = FirstEventForecaster::untilRoom(forecast, terms, m_draw);
+        const Duration told = FirstEventForecaster::timeUntilCapacity(forecast, terms, m_draw);
         asked.m_hasReturned = true;
         m_returning.emplace(now + std::min(told, (asked.m_deadline - now) / 3), asked);
     }
--- a/tests/src/unit-fleet-quota.cpp
+++ b/tests/src/unit-fleet-quota.cpp
@@ -81,8 +81,8 @@
     }
     SECTION("counts what peers report")
     {
-        quota.setPeerUse("peer", {}, start);
-        quota.setPeerUse("peer", {{AccountId("huber"), {limit, rate}}}, start + 500ms);
+        quota.setPeerUsage("peer", {}, start);
+        quota.setPeerUsage("peer", {{AccountId("huber"), {limit, rate}}}, start + 500ms);
         CHECK(quota.admit(accountOf(), 10, start + 500ms).m_verdict == QuotaVerdict::OverLimit);
     }
     SECTION("lets an account in that comes late to this VM")
@@ -92,8 +92,8 @@
         // never been filled: the buyer was refused for half a minute.
         for (int exchange = 0; exchange < 240; ++exchange) {
             const double admitted = 0.5 * rate * 0.25 * exchange;
-            quota.setPeerUse("peer", {{AccountId("huber"), {admitted, 0.5 * rate}}},
-                             start + exchange * 250ms);
+            quota.setPeerUsage("peer", {{AccountId("huber"), {admitted, 0.5 * rate}}},
+                               start + exchange * 250ms);
         }
         CHECK(askFor(quota, 0.4 * rate, start + 60s) >= 0.2 * rate);
     }
@@ -101,7 +101,7 @@
     {
         // Two VMs are cut off from each other. Each hears nobody and would admit the whole limit:
         // together they would admit it twice.
-        quota.setPeerUse("peer", {}, start);
+        quota.setPeerUsage("peer", {}, start);
         double admitted = 0;
         for (int second = 2; second < 10; ++second)
             admitted += askFor(quota, 5 * rate, start + second * 1s);
@@ -110,7 +110,7 @@
     }
     SECTION("gives the share of a VM back that has been silent for long")
     {
-        quota.setPeerUse("peer", {}, start);
+        quota.setPeerUsage("peer", {}, start);
         askFor(quota, 0.1 * rate, start + 25s);
         CHECK(askFor(quota, 0.9 * rate, start + 27s) == Approx(0.9 * rate));
     }
@@ -141,7 +141,7 @@
 {
     FleetQuota quota({});
     for (int peer = 0; peer < 8; ++peer)
-        quota.setPeerUse(std::to_string(peer), {{accountOf().m_id, {0, 100}}}, start);
+        quota.setPeerUsage(std::to_string(peer), {{accountOf().m_id, {0, 100}}}, start);
     QuotaDecision decision;
     for (int request = 0; request < 20; ++request) {
         decision = quota.admit(accountOf(), 200, start);
@@ -177,7 +177,7 @@
         settings.m_slack = slack;
         for (std::size_t node = 0; node < fleetNodes; ++node) {
             m_quotas.emplace_back(settings);
-            m_quotas.back().setExchangePace(fleetStretch);
+            m_quotas.back().setExchangeStretch(fleetStretch);
         }
     }
 
@@ -212,7 +212,7 @@
 private:
     void tell(std::size_t from, std::size_t to)
     {
-        m_quotas[to].setPeerUse(std::to_string(from), m_quotas[from].ownUse(m_now), m_now);
+        m_quotas[to].setPeerUsage(std::to_string(from), m_quotas[from].localUsage(m_now), m_now);
     }
 
     std::vector<FleetQuota> m_quotas;
@@ -262,7 +262,8 @@
         for (std::size_t from = 0; from < nodes; ++from) {
             for (std::size_t to = 0; to < nodes; ++to) {
                 if (from != to)
-                    quotas[to].setPeerUse(std::to_string(from), quotas[from].ownUse(now), now);
+                    quotas[to].setPeerUsage(std::to_string(from), quotas[from].localUsage(now),
+                                            now);
             }
         }
     };
@@ -306,7 +307,7 @@
     {
         for (std::size_t node = 0; node < nodes; ++node) {
             m_quotas.emplace_back(settings);
-            m_quotas.back().setExpectedFleet(nodes);
+            m_quotas.back().setExpectedFleetSize(nodes);
         }
     }
 
@@ -341,8 +342,8 @@
         for (std::size_t from = 0; from < nodes; ++from) {
             for (std::size_t to = 0; to < nodes; ++to) {
                 if (from != to)
-                    m_quotas[to].setPeerUse(std::to_string(from), m_quotas[from].ownUse(m_now),
-                                            m_now);
+                    m_quotas[to].setPeerUsage(std::to_string(from),
+                                              m_quotas[from].localUsage(m_now), m_now);
             }
         }
     }
@@ -385,12 +386,12 @@
 TEST_CASE("a restarted VM has no debt for what its peers admitted within the rate")
 {
     FleetQuota quota(ReturningFleet::restartedAtStart());
-    quota.setExpectedFleet(ReturningFleet::nodes);
+    quota.setExpectedFleetSize(ReturningFleet::nodes);
     for (int exchange = 0; exchange <= 12; ++exchange) {
         for (std::size_t peer = 1; peer < ReturningFleet::nodes; ++peer) {
             const double total = 0.5 * rate * 0.25 * exchange / (ReturningFleet::nodes - 1);
-            quota.setPeerUse(std::to_string(peer), {{accountOf().m_id, {total, rate * 0.5 / 8}}},
-                             start + exchange * 250ms);
+            quota.setPeerUsage(std::to_string(peer), {{accountOf().m_id, {total, rate * 0.5 / 8}}},
+                               start + exchange * 250ms);
         }
     }
     CHECK(quota.admit(accountOf(), 25, start + 3s).m_verdict == QuotaVerdict::Admitted);
@@ -401,9 +402,9 @@
 TEST_CASE("a restarted VM counts only the part of the rate that it heard of")
 {
     FleetQuota quota(ReturningFleet::restartedAtStart());
-    quota.setExpectedFleet(ReturningFleet::nodes);
+    quota.setExpectedFleetSize(ReturningFleet::nodes);
     for (std::size_t peer = 1; peer < ReturningFleet::nodes; ++peer)
-        quota.setPeerUse(std::to_string(peer), {}, start + 3s);
+        quota.setPeerUsage(std::to_string(peer), {}, start + 3s);
     const QuotaDecision decision = quota.admit(accountOf(), 25, start + 3s);
     CHECK(decision.m_level <= 3 * 1.2 * rate / ReturningFleet::nodes);
 }
--- a/tests/src/unit-placement-term.cpp
+++ b/tests/src/unit-placement-term.cpp
@@ -25,8 +25,8 @@
     std::optional<TimePoint> until() const { return m_term.until(m_list, m_clock.now()); }
 
     Clock m_clock;
-    PlacementTerm m_term{leavingApply};
-    ListStanding m_list;
+    PlacementDeadline m_term{leavingApply};
+    ListConfirmation m_list;
 };
 
 } // namespace
@@ -37,7 +37,7 @@
     ListInUse use;
     use.confirm();
     const TimePoint confirmedAt = use.m_clock.now();
-    const TimePoint expected = confirmedAt + leavingApply - PlacementTerm::wayReserve;
+    const TimePoint expected = confirmedAt + leavingApply - PlacementDeadline::deliveryMargin;
     REQUIRE(use.until() == expected);
 
     SECTION("also when the list has aged")
@@ -55,7 +55,7 @@
 
     SECTION("to the last moment and no longer")
     {
-        use.m_clock.advance(leavingApply - PlacementTerm::wayReserve - 1ns);
+        use.m_clock.advance(leavingApply - PlacementDeadline::deliveryMargin - 1ns);
         REQUIRE(use.until() == expected);
         use.m_clock.advance(1ns);
         REQUIRE_FALSE(use.until());
@@ -71,13 +71,14 @@
 
     SECTION("while it is new it holds as any other")
     {
-        REQUIRE(use.until() == use.m_clock.now() + leavingApply - PlacementTerm::wayReserve);
+        REQUIRE(use.until()
+                == use.m_clock.now() + leavingApply - PlacementDeadline::deliveryMargin);
     }
 
     SECTION("an old one holds from the placement on")
     {
         use.m_clock.advance(60s);
-        REQUIRE(use.until() == use.m_clock.now() + PlacementTerm::unconfirmableTerm);
+        REQUIRE(use.until() == use.m_clock.now() + PlacementDeadline::unconfirmableTimeout);
     }
 }
 
@@ -101,7 +102,7 @@
         use.m_clock.advance(400ms);
         use.confirm();
         REQUIRE(use.m_term.renewed(placed, use.m_list)
-                == use.m_clock.now() + leavingApply - PlacementTerm::wayReserve);
+                == use.m_clock.now() + leavingApply - PlacementDeadline::deliveryMargin);
     }
 
     SECTION("never to an earlier moment")
@@ -120,19 +121,19 @@
 
     SECTION("a fast connection needs what is left and no more")
     {
-        REQUIRE(PlacementTerm::maySend(now + 1ms + 1ns, 1ms, now));
-        REQUIRE_FALSE(PlacementTerm::maySend(now + 1ms, 1ms, now));
+        REQUIRE(PlacementDeadline::maySend(now + 1ms + 1ns, 1ms, now));
+        REQUIRE_FALSE(PlacementDeadline::maySend(now + 1ms, 1ms, now));
     }
 
     SECTION("a slow one needs as long again, and leaves the reserve for a way that gets longer")
     {
-        REQUIRE(PlacementTerm::maySend(now + 251ms, 250ms, now));
-        REQUIRE_FALSE(PlacementTerm::maySend(now + 250ms, 250ms, now));
+        REQUIRE(PlacementDeadline::maySend(now + 251ms, 250ms, now));
+        REQUIRE_FALSE(PlacementDeadline::maySend(now + 250ms, 250ms, now));
     }
 
     SECTION("a term that was ended ends it at any speed")
     {
-        REQUIRE_FALSE(PlacementTerm::maySend(TimePoint::min(), 0ms, now));
+        REQUIRE_FALSE(PlacementDeadline::maySend(TimePoint::min(), 0ms, now));
     }
 }
 
@@ -145,16 +146,17 @@
                  clock.pause();
                  const auto age = std::chrono::milliseconds(*rc::gen::inRange(0, 4000));
                  const auto connecting = std::chrono::milliseconds(*rc::gen::inRange(0, 400));
-                 const PlacementTerm term(leavingApply);
+                 const PlacementDeadline term(leavingApply);
                  const TimePoint now = clock.now();
-                 const ListStanding list{now - age, false};
+                 const ListConfirmation list{now - age, false};
                  const auto until = term.until(list, now);
-                 RC_ASSERT(until.has_value() == (age < leavingApply - PlacementTerm::wayReserve));
+                 RC_ASSERT(until.has_value()
+                           == (age < leavingApply - PlacementDeadline::deliveryMargin));
                  if (!until)
                      return;
                  const TimePoint connectedAt = now + connecting;
-                 if (PlacementTerm::maySend(*until, connecting, connectedAt))
-                     RC_ASSERT(connectedAt + connecting + PlacementTerm::wayReserve
+                 if (PlacementDeadline::maySend(*until, connecting, connectedAt))
+                     RC_ASSERT(connectedAt + connecting + PlacementDeadline::deliveryMargin
                                < list.m_confirmedAt + leavingApply);
              });
 }
--- a/tests/src/unit-platform-codec.cpp
+++ b/tests/src/unit-platform-codec.cpp
@@ -42,14 +42,14 @@
     const ServingConfig &config = valueOf(decoded);
     CHECK(config.m_version == 7);
     REQUIRE(config.m_routes.size() == 2);
-    CHECK(config.m_routes[0].m_kind == RepeatKind::Stream);
-    CHECK(config.m_routes[0].mayRepeat());
+    CHECK(config.m_routes[0].m_kind == RouteRepeatSafety::Stream);
+    CHECK(config.m_routes[0].isRetryable());
     CHECK(config.m_routes[0].m_timeout == 3s);
-    CHECK(config.m_routes[1].m_kind == RepeatKind::AtMostOnce);
-    CHECK_FALSE(config.m_routes[1].mayRepeat());
+    CHECK(config.m_routes[1].m_kind == RouteRepeatSafety::AtMostOnce);
+    CHECK_FALSE(config.m_routes[1].isRetryable());
     CHECK(config.m_routes[1].m_services.size() == 2);
     const ServingService &service = config.m_services.at(ServiceId("s1"));
-    CHECK(service.m_engine->m_movesRuns);
+    CHECK(service.m_engine->m_canMoveRuns);
     CHECK(service.m_scaling->m_most == 8);
     CHECK(service.m_scaling->m_bootTime == 4s);
     CHECK_FALSE(config.m_services.at(ServiceId("s2")).m_engine);
@@ -61,7 +61,7 @@
     {
         const auto odd = decodeConfig(R"({"version":1,"routes":[{"name":"r","kind":"new"}]})");
         REQUIRE(succeeded(odd));
-        CHECK(valueOf(odd).m_routes[0].m_kind == RepeatKind::AtMostOnce);
+        CHECK(valueOf(odd).m_routes[0].m_kind == RouteRepeatSafety::AtMostOnce);
     }
     SECTION("that is none is refused")
     {
@@ -82,7 +82,7 @@
     CHECK(valueOf(record).m_port == 8080);
     CHECK(valueOf(record).m_isDraining);
     CHECK(valueOf(record).m_isReclaimable);
-    CHECK(valueOf(record).m_leavesIn == 2500ms);
+    CHECK(valueOf(record).m_timeUntilRemoval == 2500ms);
 
     SECTION("survives the way to a peer")
     {
--- a/tests/src/unit-prompt-news.cpp
+++ b/tests/src/unit-prompt-news.cpp
@@ -25,38 +25,38 @@
 
 TEST_CASE("which prompts are told at once in a small fleet")
 {
-    PromptNews news;
-    CHECK(news.isTold(6100, speed, start));
-    CHECK_FALSE(news.isTold(5900, speed, start));
-    CHECK_FALSE(news.isTold(60000, 0, start));
+    PromptAnnouncer news;
+    CHECK(news.shouldAnnounce(6100, speed, start));
+    CHECK_FALSE(news.shouldAnnounce(5900, speed, start));
+    CHECK_FALSE(news.shouldAnnounce(60000, 0, start));
 }
 
 TEST_CASE("which prompts are told at once in a large fleet")
 {
-    PromptNews news;
+    PromptAnnouncer news;
     news.setFleet(100, true);
     // Three words in ten seconds.
     for (const double tokens : {20000.0, 30000.0, 40000.0})
-        CHECK(news.isTold(tokens, speed, start));
+        CHECK(news.shouldAnnounce(tokens, speed, start));
 
     SECTION("the longest")
     {
-        CHECK_FALSE(news.isTold(10000, speed, start + 1s));
-        CHECK(news.isTold(35000, speed, start + 1s));
-        CHECK_FALSE(news.isTold(25000, speed, start + 1s));
+        CHECK_FALSE(news.shouldAnnounce(10000, speed, start + 1s));
+        CHECK(news.shouldAnnounce(35000, speed, start + 1s));
+        CHECK_FALSE(news.shouldAnnounce(25000, speed, start + 1s));
     }
     SECTION("of the last seconds")
     {
-        CHECK(news.isTold(10000, speed, start + 11s));
+        CHECK(news.shouldAnnounce(10000, speed, start + 11s));
     }
     SECTION("but none that is read before the word has come round")
     {
-        CHECK_FALSE(news.isTold(1000, speed, start + 11s));
+        CHECK_FALSE(news.shouldAnnounce(1000, speed, start + 11s));
     }
     SECTION("and more from each VM where they are fewer")
     {
         news.setFleet(50, true);
-        CHECK(news.isTold(10000, speed, start + 1s));
+        CHECK(news.shouldAnnounce(10000, speed, start + 1s));
     }
 }
 
@@ -91,7 +91,7 @@
         }
         for (Vm &vm : m_vms) {
             vm.m_pool.update(records);
-            vm.m_pool.setExchangePace(7);
+            vm.m_pool.setExchangeStretch(7);
             vm.m_news.setFleet(vms, true);
             vm.m_nextExchange = start + fromSeconds(unitDraw() * toSeconds(exchangeEvery));
         }
@@ -127,7 +127,7 @@
     struct Vm
     {
         UpstreamPool m_pool;
-        PromptNews m_news;
+        PromptAnnouncer m_news;
         TimePoint m_nextExchange{};
         std::deque<Prompt> m_prompts;
     };
@@ -203,14 +203,15 @@
         request.m_promptTokens = tokens;
         request.m_readingSpeed = speed;
         request.m_draw = m_random();
-        request.m_isTold = vm.m_news.isTold(static_cast<double>(tokens), speed, m_now) && m_tells;
+        request.m_isAnnounced =
+                vm.m_news.shouldAnnounce(static_cast<double>(tokens), speed, m_now) && m_tells;
         const PooledUpstreamPointer engine = vm.m_pool.choose(request, m_now);
         TimePoint &freeAt = m_freeAt[engine->m_record.m_id];
         freeAt = std::max(freeAt, m_now) + fromSeconds(static_cast<double>(tokens) / speed);
         ++engine->m_own.m_running;
         engine->m_own.m_pendingTokens += tokens;
         vm.m_prompts.push_back({freeAt, engine->m_record.m_id, tokens});
-        if (request.m_isTold) {
+        if (request.m_isAnnounced) {
             m_told += m_now > start + rankedSpan ? 1 : 0;
             m_words.push_back({m_now + wordTime, &vm, engine->m_record.m_id, engine->m_own});
         }
--- a/tests/src/unit-prompt-reading.cpp
+++ b/tests/src/unit-prompt-reading.cpp
@@ -11,17 +11,17 @@
 const ServiceId llm("llm");
 
 /// Notes prompts of 6,200 tokens that an engine of 62,000 a second reads.
-void readAlone(PromptReading &reading, int times)
+void readAlone(PrefillEstimator &reading, int times)
 {
     for (int time = 0; time < times; ++time)
-        reading.noteAlone(6200, 100ms);
+        reading.recordUncontended(6200, 100ms);
 }
 
 } // namespace
 
 TEST_CASE("the speed of an engine")
 {
-    PromptReading reading;
+    PrefillEstimator reading;
 
     SECTION("is not known from a few requests")
     {
@@ -34,14 +34,14 @@
     {
         readAlone(reading, 20);
         for (int time = 0; time < 10; ++time)
-            reading.noteAlone(6200, 900ms);
+            reading.recordUncontended(6200, 900ms);
         CHECK(reading.rate(start).m_speed == Approx(62000));
     }
     SECTION("is not taken from short prompts, which wait for the way and a step")
     {
         readAlone(reading, 4);
         for (int time = 0; time < 30; ++time)
-            reading.noteAlone(100, 12ms);
+            reading.recordUncontended(100, 12ms);
         CHECK(reading.rate(start).m_speed == Approx(62000));
     }
     SECTION("is not lowered by the part of a wait that all prompts have")
@@ -51,7 +51,8 @@
         // as many engines as needed are ordered.
         for (int time = 0; time < 4; ++time) {
             for (const int tokens : {750, 1500, 3000, 6000, 12000})
-                reading.noteAlone(tokens, 30ms + std::chrono::microseconds(tokens * 1000 / 150));
+                reading.recordUncontended(tokens,
+                                          30ms + std::chrono::microseconds(tokens * 1000 / 150));
         }
         CHECK(reading.rate(start).m_speed == Approx(150000).epsilon(0.02));
     }
@@ -60,10 +61,10 @@
         // Waits at VMs with an eighth of a core vary by as much as a prompt takes: some short ones
         // took as long as long ones.
         for (int time = 0; time < 5; ++time) {
-            reading.noteAlone(1000, time < 2 ? 110ms : 40ms);
-            reading.noteAlone(1500, 45ms);
-            reading.noteAlone(6000, time < 2 ? 200ms : 74ms);
-            reading.noteAlone(12000, 115ms);
+            reading.recordUncontended(1000, time < 2 ? 110ms : 40ms);
+            reading.recordUncontended(1500, 45ms);
+            reading.recordUncontended(6000, time < 2 ? 200ms : 74ms);
+            reading.recordUncontended(12000, 115ms);
         }
         CHECK(reading.rate(start).m_speed > 120000);
         CHECK(reading.rate(start).m_speed < 160000);
@@ -72,25 +73,25 @@
     {
         readAlone(reading, 40);
         for (int time = 0; time < 40; ++time)
-            reading.noteAlone(6200, 300ms);
+            reading.recordUncontended(6200, 300ms);
         CHECK(reading.rate(start).m_speed == Approx(6200 / 0.3));
     }
 }
 
 TEST_CASE("what the fleet is asked to read")
 {
-    FleetReading fleet;
-    fleet.own(llm).notePlaced(40000, start);
+    FleetPrefillRates fleet;
+    fleet.own(llm).recordPlacement(40000, start);
     fleet.setPeer("b", {{llm, {5000, 50000}}});
     fleet.setPeer("c", {{llm, {7000, 60000}}});
-    const ReadingRate rate = fleet.fleetRates(start + 1s).at(llm);
+    const PrefillRate rate = fleet.fleetRates(start + 1s).at(llm);
     CHECK(rate.m_demand == Approx(22000));
     CHECK(rate.m_speed == Approx(50000));
 
     SECTION("ends with the VM that asked")
     {
-        fleet.forgetPeer("b");
-        fleet.forgetPeer("c");
+        fleet.removePeer("b");
+        fleet.removePeer("c");
         CHECK(fleet.fleetRates(start + 10s).at(llm).m_demand == 0);
         CHECK(fleet.fleetRates(start + 10s).at(llm).m_speed == 0);
     }
--- a/tests/src/unit-serving-view.cpp
+++ b/tests/src/unit-serving-view.cpp
@@ -68,7 +68,7 @@
 {
     const auto streamWith = [](Duration pause, const char *service) {
         ServingRoute route = routeAt("r", "a.example", "/x/");
-        route.m_kind = RepeatKind::Stream;
+        route.m_kind = RouteRepeatSafety::Stream;
         route.m_pauseTarget = pause;
         route.m_services = {{ServiceId(service), 1}};
         return route;
--- a/tests/src/unit-upstream-feed.cpp
+++ b/tests/src/unit-upstream-feed.cpp
@@ -61,7 +61,7 @@
         // The store is away for five seconds; no upstream can write its heartbeat, and all entries
         // lapse. When it returns the list is empty for a moment: every request would be refused
         // though all upstreams live.
-        feed.storeFailed();
+        feed.onStoreUnavailable();
         REQUIRE(feed.replaceAll(listOf(20, {}), start + 6s));
         CHECK(has(feed, "a"));
         feed.apply({{recordOf("a"), UpstreamChangeKind::Present}}, 21, start + 7s);
@@ -73,7 +73,7 @@
     SECTION("drops an upstream that was draining, outage or not")
     {
         feed.apply({{recordOf("a", true), UpstreamChangeKind::Present}}, 11, start);
-        feed.storeFailed();
+        feed.onStoreUnavailable();
         feed.replaceAll(listOf(20, {recordOf("b")}), start + 3s);
         CHECK_FALSE(has(feed, "a"));
     }
@@ -84,7 +84,7 @@
     }
     SECTION("drops an entry removed long after the store's return")
     {
-        feed.storeFailed();
+        feed.onStoreUnavailable();
         feed.apply({}, 11, start + 2s);
         feed.apply({{recordOf("a"), UpstreamChangeKind::Removed}}, 12, start + 5s);
         CHECK_FALSE(has(feed, "a"));
@@ -95,7 +95,7 @@
 {
     UpstreamFeed feed;
     REQUIRE(feed.replaceAll(listOf(10, {recordOf("a"), recordOf("b")}), start));
-    UpstreamNews news;
+    UpstreamListUpdate news;
     news.m_revision = 14;
     news.m_sinceRevision = 9;
     news.m_changes = {{recordOf("a", true), UpstreamChangeKind::Present},
@@ -103,7 +103,7 @@
 
     SECTION("brings changes and their age")
     {
-        CHECK(feed.take(news, start + 2s, start + 2s) == UpstreamFeed::Taking::Taken);
+        CHECK(feed.take(news, start + 2s, start + 2s) == UpstreamFeed::ApplyResult::Taken);
         CHECK(feed.upstreams().at(UpstreamId("a")).m_isDraining);
         CHECK_FALSE(has(feed, "b"));
         CHECK(feed.revision() == 14);
@@ -112,7 +112,7 @@
     SECTION("is no use to a list that lacks what came before it")
     {
         news.m_sinceRevision = 11;
-        CHECK(feed.take(news, start, start) == UpstreamFeed::Taking::Lacking);
+        CHECK(feed.take(news, start, start) == UpstreamFeed::ApplyResult::ChangesMissing);
         CHECK(has(feed, "b"));
     }
     SECTION("is passed over when the list is newer")
@@ -120,7 +120,7 @@
         // A follower has read the store itself; a reader's word of before must not take it back.
         news.m_revision = 9;
         news.m_sinceRevision = 8;
-        CHECK(feed.take(news, start + 2s, start + 2s) == UpstreamFeed::Taking::Older);
+        CHECK(feed.take(news, start + 2s, start + 2s) == UpstreamFeed::ApplyResult::Older);
         CHECK(has(feed, "b"));
         CHECK(feed.confirmedAt() == start);
     }
@@ -129,7 +129,7 @@
         news.m_revision = 10;
         news.m_sinceRevision = GENERATE(std::optional<std::int64_t>(9), std::nullopt);
         const std::int64_t newest = feed.history().newest();
-        CHECK(feed.take(news, start + 2s, start + 2s) == UpstreamFeed::Taking::Taken);
+        CHECK(feed.take(news, start + 2s, start + 2s) == UpstreamFeed::ApplyResult::Taken);
         CHECK(feed.history().newest() == newest);
         CHECK(feed.confirmedAt() == start + 2s);
     }
@@ -137,7 +137,7 @@
     {
         news.m_sinceRevision.reset();
         news.m_changes = {{recordOf("c"), UpstreamChangeKind::Present}};
-        CHECK(feed.take(news, start, start) == UpstreamFeed::Taking::Taken);
+        CHECK(feed.take(news, start, start) == UpstreamFeed::ApplyResult::Taken);
         CHECK(feed.upstreams().size() == 1);
     }
 }
@@ -151,9 +151,9 @@
     REQUIRE(reader.replaceAll(listOf(10, {recordOf("a")}), start));
     UpstreamFeed follower;
     FollowerState state;
-    const UpstreamNews first = state.newsFor(reader, start);
-    REQUIRE(follower.take(first, start, start) == UpstreamFeed::Taking::Taken);
-    state.onTaken(first);
+    const UpstreamListUpdate first = state.updateFor(reader, start);
+    REQUIRE(follower.take(first, start, start) == UpstreamFeed::ApplyResult::Taken);
+    state.onApplied(first);
 
     follower.apply({{recordOf("b"), UpstreamChangeKind::Present}}, 11, start);
     SECTION("as changes")
@@ -166,7 +166,8 @@
     {
         reader.replaceAll(listOf(12, {recordOf("a")}), start);
     }
-    CHECK(follower.take(state.newsFor(reader, start), start, start) == UpstreamFeed::Taking::Taken);
+    CHECK(follower.take(state.updateFor(reader, start), start, start)
+          == UpstreamFeed::ApplyResult::Taken);
     CHECK_FALSE(has(follower, "b"));
     CHECK(has(follower, "a"));
 }
@@ -178,7 +179,7 @@
     // sending requests to an engine that was gone.
     UpstreamFeed reader;
     REQUIRE(reader.replaceAll(listOf(10, {recordOf("a")}), start));
-    reader.storeFailed();
+    reader.onStoreUnavailable();
     reader.apply({{recordOf("a"), UpstreamChangeKind::Removed}}, 11, start + 5s);
     REQUIRE(has(reader, "a"));
     UpstreamFeed follower;
@@ -187,15 +188,15 @@
     SECTION("told whole")
     {
         REQUIRE(follower.replaceAll(listOf(10, {recordOf("a")}), start));
-        follower.take(state.newsFor(reader, start + 6s), start + 6s, start + 6s);
+        follower.take(state.updateFor(reader, start + 6s), start + 6s, start + 6s);
     }
     SECTION("told the change")
     {
         REQUIRE(follower.replaceAll(listOf(10, {recordOf("a")}), start));
-        UpstreamNews before;
+        UpstreamListUpdate before;
         before.m_revision = 10;
-        state.onTaken(before);
-        follower.take(state.newsFor(reader, start + 6s), start + 6s, start + 6s);
+        state.onApplied(before);
+        follower.take(state.updateFor(reader, start + 6s), start + 6s, start + 6s);
     }
     CHECK(has(follower, "a"));
     CHECK(follower.expire(start + 8s));
@@ -210,7 +211,7 @@
 {
     UpstreamFeed feed;
     REQUIRE(feed.replaceAll(listOf(10, {recordOf("a"), recordOf("b")}), start));
-    feed.storeFailed();
+    feed.onStoreUnavailable();
 
     SECTION("read anew")
     {
@@ -227,7 +228,7 @@
         FollowerState state;
         REQUIRE(follower.replaceAll(listOf(10, {recordOf("a"), recordOf("b")}), start));
         feed.replaceAll(listOf(12, {recordOf("b")}), start + 1200ms);
-        follower.take(state.newsFor(feed, start + 1300ms), start + 1200ms, start + 1300ms);
+        follower.take(state.updateFor(feed, start + 1300ms), start + 1200ms, start + 1300ms);
         CHECK_FALSE(has(follower, "a"));
     }
     CHECK_FALSE(has(feed, "a"));
@@ -245,9 +246,9 @@
     UpstreamFeed follower;
     REQUIRE(follower.replaceAll(listOf(10, {recordOf("a"), recordOf("b")}), start));
     follower.apply({}, 11, start + 4500ms);
-    reader.storeFailed();
+    reader.onStoreUnavailable();
     reader.apply({}, 11, start + 5s);
-    follower.take(state.newsFor(reader, start + 5s), start + 5s, start + 5s);
+    follower.take(state.updateFor(reader, start + 5s), start + 5s, start + 5s);
     follower.apply({{recordOf("a"), UpstreamChangeKind::Removed}}, 12, start + 5500ms);
     CHECK_FALSE(has(follower, "a"));
 }
@@ -259,7 +260,7 @@
 {
     UpstreamFeed peer;
     REQUIRE(peer.replaceAll(listOf(10, {recordOf("a"), recordOf("b")}), start));
-    peer.storeFailed();
+    peer.onStoreUnavailable();
     REQUIRE(peer.replaceAll(listOf(12, {recordOf("b")}), start + 5s));
     REQUIRE(has(peer, "a"));
     CHECK_FALSE(peer.present().contains(UpstreamId("a")));
@@ -272,7 +273,7 @@
     // lapsed and is in it again was dropped all the same when its time was over.
     UpstreamFeed feed;
     REQUIRE(feed.replaceAll(listOf(10, {recordOf("a")}), start));
-    feed.storeFailed();
+    feed.onStoreUnavailable();
     feed.apply({{recordOf("a"), UpstreamChangeKind::Removed}}, 11, start + 5s);
     REQUIRE(feed.replaceAll(listOf(12, {recordOf("a")}), start + 6s));
     feed.expire(start + 9s);
@@ -354,7 +355,7 @@
     }
     SECTION("also just after an outage, when vanished entries are kept")
     {
-        feed.storeFailed();
+        feed.onStoreUnavailable();
         feed.replaceAll(spoiled, start + 5s);
         CHECK_FALSE(has(feed, "a"));
     }
@@ -362,11 +363,11 @@
     {
         UpstreamFeed follower;
         FollowerState state;
-        state.onLacking();
+        state.onMissingChanges();
         follower.replaceAll(listOf(10, {recordOf("a"), recordOf("b")}), start);
-        feed.storeFailed();
+        feed.onStoreUnavailable();
         feed.replaceAll(spoiled, start + 5s);
-        follower.take(state.newsFor(feed, start + 5s), start + 5s, start + 5s);
+        follower.take(state.updateFor(feed, start + 5s), start + 5s, start + 5s);
         CHECK_FALSE(has(follower, "a"));
         CHECK(has(follower, "b"));
     }
--- a/tests/src/unit-upstream-history.cpp
+++ b/tests/src/unit-upstream-history.cpp
@@ -9,14 +9,14 @@
 TEST_CASE("the history of a list of upstreams")
 {
     UpstreamHistory history;
-    history.noteChanged(UpstreamId("a"));
-    history.noteChanged(UpstreamId("b"));
+    history.recordChange(UpstreamId("a"));
+    history.recordChange(UpstreamId("b"));
     const std::int64_t before = history.newest();
 
     SECTION("tells what came after a number")
     {
         history.noteGone(UpstreamId("a"));
-        history.noteChanged(UpstreamId("c"));
+        history.recordChange(UpstreamId("c"));
         const auto differences = history.since(before);
         REQUIRE(differences);
         CHECK(differences->m_changed == std::vector{UpstreamId("c")});
@@ -26,7 +26,7 @@
     SECTION("tells the last of several changes")
     {
         history.noteGone(UpstreamId("b"));
-        history.noteChanged(UpstreamId("b"));
+        history.recordChange(UpstreamId("b"));
         CHECK(history.since(before)->m_gone.empty());
     }
     SECTION("knows nothing of a number that it has not given")
--- a/tests/src/unit-upstream-pool.cpp
+++ b/tests/src/unit-upstream-pool.cpp
@@ -53,7 +53,7 @@
 {
     const auto kept = [](const std::string &id) {
         UpstreamRecord record = recordOf(id, "a");
-        record.m_isKept = true;
+        record.m_isRetained = true;
         return record;
     };
     UpstreamPool pool;
@@ -65,7 +65,7 @@
         pool.upstreams().at(UpstreamId("a1"))->m_own.m_running = 9;
         pool.upstreams().at(UpstreamId("a2"))->m_own.m_running = 9;
         CHECK(chosen(pool, request) != "a3");
-        CHECK(pool.leastPendingTokens(request, start) == 0);
+        CHECK(pool.minPendingTokens(request, start) == 0);
     }
     SECTION("where half of them have gone")
     {
@@ -100,7 +100,7 @@
         pool.setPeerLoad("peer", {{UpstreamId("a2"), {9, 30000}}}, start);
         CHECK(pool.reportAge(start + 1s) == 1s);
         CHECK(chosen(pool, requestFrom("a")) == "a1");
-        pool.forgetPeer("peer");
+        pool.removePeer("peer");
         a1.m_own.m_running = 1;
         CHECK(chosen(pool, requestFrom("a")) == "a2");
     }
@@ -135,8 +135,8 @@
     {
         // A runner crashes without a word: connections to it hang until they time out, and each
         // request that is sent there loses its time. Two failures in a row are enough.
-        UpstreamPool::note(a1, AttemptVerdict::Broken, start);
-        UpstreamPool::note(a1, AttemptVerdict::Broken, start);
+        UpstreamPool::note(a1, AttemptResult::Broken, start);
+        UpstreamPool::note(a1, AttemptResult::Broken, start);
         a2.m_own.m_running = 1;
         CHECK(chosen(pool, requestFrom("a")) == "a2");
         CHECK(chosen(pool, requestFrom("a"), start + 1s) == "a1");
@@ -145,8 +145,7 @@
     {
         for (int round = 0; round < 70; ++round) {
             const bool fails = round % 7 == 0;
-            UpstreamPool::note(a1, fails ? AttemptVerdict::ServerError : AttemptVerdict::Good,
-                               start);
+            UpstreamPool::note(a1, fails ? AttemptResult::ServerError : AttemptResult::Good, start);
         }
         CHECK(a1.m_avoidUntil <= start);
     }
@@ -188,7 +187,7 @@
     plain.m_promptTokens = 0;
     REQUIRE(drawnTimes(pool, plain)["a1"] == 1000);
 
-    pool.setExchangePace(2);
+    pool.setExchangeStretch(2);
     std::map<std::string, int> times = drawnTimes(pool, plain);
     // 1 to 1/4.5 to 1/18 by load and way.
     CHECK(times["a1"] == Approx(783).margin(50));
@@ -198,8 +197,8 @@
     SECTION("nor any to one that is avoided while another is there")
     {
         auto &a1 = *pool.upstreams().at(UpstreamId("a1"));
-        UpstreamPool::note(a1, AttemptVerdict::Broken, start);
-        UpstreamPool::note(a1, AttemptVerdict::Broken, start);
+        UpstreamPool::note(a1, AttemptResult::Broken, start);
+        UpstreamPool::note(a1, AttemptResult::Broken, start);
         CHECK(drawnTimes(pool, plain)["a1"] == 0);
         plain.m_excluded = {UpstreamId("b1"), UpstreamId("c1")};
         CHECK(drawnTimes(pool, plain)["a1"] == 1000);
@@ -215,9 +214,9 @@
     for (int number = 0; number < 10; ++number)
         records.push_back(recordOf("b" + std::to_string(number), "b"));
     pool.update(upstreamsOf(records));
-    pool.setExchangePace(6);
+    pool.setExchangeStretch(6);
     for (const auto &[id, upstream] : pool.upstreams())
-        upstream->m_others.m_running = id.text() == "a3" ? 2 : 8;
+        upstream->m_peerTotal.m_running = id.text() == "a3" ? 2 : 8;
     PlacementRequest request = requestFrom("a");
     std::map<std::string, int> times = drawnTimes(pool, request);
     // Two of ten are drawn at home; the idle one is taken when it is among them.
@@ -226,7 +225,7 @@
 
     SECTION("or among more for a prompt that peers hear of at once")
     {
-        request.m_isTold = true;
+        request.m_isAnnounced = true;
         CHECK(drawnTimes(pool, request)["a3"] == Approx(800).margin(50));
     }
     SECTION("and keep a shared part at its home")
@@ -255,10 +254,10 @@
     pool.update(upstreamsOf({first}));
     const PooledUpstreamPointer before = pool.upstreams().at(UpstreamId("a1"));
     before->m_own.m_running = 3;
-    UpstreamPool::note(*before, AttemptVerdict::Broken, start);
-    UpstreamPool::note(*before, AttemptVerdict::Broken, start);
+    UpstreamPool::note(*before, AttemptResult::Broken, start);
+    UpstreamPool::note(*before, AttemptResult::Broken, start);
     pool.setPeerLoad("peer", {{UpstreamId("a1"), {9, 30000, 500}}}, start);
-    REQUIRE(before->m_others.m_running == 9);
+    REQUIRE(before->m_peerTotal.m_running == 9);
     std::int64_t toldStart = 0;
     before->m_onReplaced[&toldStart] = [&toldStart](std::int64_t at) {
         toldStart = at;
@@ -269,12 +268,12 @@
         pool.update(upstreamsOf({second}));
         const PooledUpstream &after = *pool.upstreams().at(UpstreamId("a1"));
         CHECK(after.m_own.m_running == 0);
-        CHECK(after.m_others.m_running == 0);
+        CHECK(after.m_peerTotal.m_running == 0);
         CHECK(after.m_avoidUntil <= start);
         CHECK(before->m_isReplaced);
         CHECK(toldStart == 900);
         pool.setPeerLoad("peer", {{UpstreamId("a1"), {2, 0, 900}}}, start);
-        CHECK(after.m_others.m_running == 2);
+        CHECK(after.m_peerTotal.m_running == 2);
     }
     SECTION("also when its entry was away in between")
     {
@@ -362,7 +361,7 @@
 {
     PlacementRequest request = requestFrom("a");
     request.m_promptTokens = tokens;
-    request.m_pauseTokens = 36000;
+    request.m_maxPauseTokens = 36000;
     return request;
 }
 
@@ -392,7 +391,7 @@
     SECTION("and counts as any other while the speed of engines isn't known")
     {
         PlacementRequest request = promptOf(60000);
-        request.m_pauseTokens = 0;
+        request.m_maxPauseTokens = 0;
         CHECK(chosen(pool, request) == "a1");
     }
 }
@@ -417,7 +416,7 @@
     {
         second.setPeerLoadAt("stranger", UpstreamId("a1"), {9, 90000, 0}, start);
         second.setPeerLoadAt("stranger", UpstreamId("a2"), {9, 90000, 0}, start);
-        CHECK(second.upstreams().at(UpstreamId("a1"))->m_others.m_running <= 1);
+        CHECK(second.upstreams().at(UpstreamId("a1"))->m_peerTotal.m_running <= 1);
     }
 }
 
@@ -429,7 +428,7 @@
 {
     UpstreamPool pool;
     pool.update(upstreamsOf({recordOf("a1", "a"), recordOf("a2", "a")}));
-    pool.setExchangePace(7);
+    pool.setExchangeStretch(7);
     const PooledUpstream &a1 = *pool.upstreams().at(UpstreamId("a1"));
     pool.setPeerLoad("peer", {{UpstreamId("a1"), {1, 30000, 0}}}, start);
     PlacementRequest request = requestFrom("a");
--- a/tests/src/unit-usage-windows.cpp
+++ b/tests/src/unit-usage-windows.cpp
@@ -24,13 +24,14 @@
     /// Acts at a moment, as long after the slowest VM's word as given. Returns whether it wrote.
     bool act(WallMillis now, WallMillis silence)
     {
-        const auto next = m_windows.toStore({now, now - silence}, [this](WindowNumber number) {
-            const auto heard = m_heard.find(number);
-            return heard == m_heard.end() ? WindowCounts() : heard->second;
-        });
+        const auto next =
+                m_windows.ledgerToStore({now, now - silence}, [this](WindowNumber number) {
+                    const auto heard = m_heard.find(number);
+                    return heard == m_heard.end() ? WindowCounts() : heard->second;
+                });
         if (next) {
             m_stored = *next;
-            m_windows.onLedger(*next);
+            m_windows.setLedger(*next);
         }
         return next.has_value();
     }
@@ -53,7 +54,7 @@
         CHECK(holder.m_stored.m_fixed.empty());
         CHECK(holder.act(end + 1000, 0));
         CHECK(holder.m_stored.m_fixed.at(window) == WindowCounts{{huber, 40}});
-        CHECK(holder.m_stored.m_noted.empty());
+        CHECK(holder.m_stored.m_provisional.empty());
     }
     SECTION("is not fixed while a VM's last word is of before")
     {
@@ -85,13 +86,13 @@
         holder.act(end + 1000, 0);
         holder.m_heard[window] = {{huber, 44}};
         CHECK_FALSE(holder.act(end + 3000, 0));
-        const auto reports = holder.m_windows.toSend(end + 10000);
+        const auto reports = holder.m_windows.dueReports(end + 10000);
         REQUIRE(reports.size() == 1);
         CHECK(reports[0].m_window == window);
         CHECK(reports[0].m_counts == WindowCounts{{huber, 40}});
-        CHECK(holder.m_windows.toSend(end + 10001).empty());
-        holder.m_windows.onSent(window);
-        CHECK(holder.m_windows.toSend(end + 4000).empty());
+        CHECK(holder.m_windows.dueReports(end + 10001).empty());
+        holder.m_windows.onReportAccepted(window);
+        CHECK(holder.m_windows.dueReports(end + 4000).empty());
     }
     SECTION("stays in the store beyond its time, for a successor whose clock is behind")
     {
@@ -115,22 +116,22 @@
     CHECK_FALSE(holder.act(end + 399, 5000));
     REQUIRE(holder.act(end + 400, 5000));
     CHECK(holder.m_stored.m_fixed.empty());
-    CHECK(holder.m_stored.m_noted.at(window) == holder.m_heard[window]);
-    CHECK(holder.m_windows.toSend(end + 400).empty());
+    CHECK(holder.m_stored.m_provisional.at(window) == holder.m_heard[window]);
+    CHECK(holder.m_windows.dueReports(end + 400).empty());
 
     SECTION("so that a successor that heard nothing can report it")
     {
         Holder successor;
-        successor.m_windows.onLedger(holder.m_stored);
+        successor.m_windows.setLedger(holder.m_stored);
         CHECK(successor.act(end + 4500, 0));
         CHECK(successor.m_stored.m_fixed.at(window) == holder.m_heard[window]);
-        CHECK(successor.m_stored.m_noted.empty());
-        CHECK(successor.m_windows.toSend(end + 4500).size() == 1);
+        CHECK(successor.m_stored.m_provisional.empty());
+        CHECK(successor.m_windows.dueReports(end + 4500).size() == 1);
     }
     SECTION("and a successor that heard more of some accounts takes the larger counts")
     {
         Holder successor;
-        successor.m_windows.onLedger(holder.m_stored);
+        successor.m_windows.setLedger(holder.m_stored);
         successor.m_heard[window] = {{huber, 42}, {meier, 3}};
         successor.act(end + 4500, 0);
         CHECK(successor.m_stored.m_fixed.at(window) == WindowCounts{{huber, 42}, {meier, 7}});
@@ -143,6 +144,6 @@
         holder.m_heard[window][huber] = 42;
         CHECK_FALSE(holder.act(end + 3399, 5000));
         CHECK(holder.act(end + 3400, 5000));
-        CHECK(holder.m_stored.m_noted.at(window).at(huber) == 42);
+        CHECK(holder.m_stored.m_provisional.at(window).at(huber) == 42);
     }
 }
--- a/tests/support/entry_world.hpp
+++ b/tests/support/entry_world.hpp
@@ -198,7 +198,7 @@
 private:
     EntryAnswer ask(const EntryNode &node, const std::string &target, const std::string &id,
                     const std::string &key, int deadlineMillis, const std::string &tokenUsage,
-                    bool usesKept = false, const std::string &body = "body")
+                    bool usesRetained = false, const std::string &body = "body")
     {
         HttpCall call;
         call.m_endpoint = {"127.0.0.1", node.m_callerPort};
@@ -211,7 +211,7 @@
             call.m_headers.add("Gypsumdale-Token-Usage", tokenUsage);
         call.m_headers.add("Authorization", "Bearer " + key);
         call.m_body = body;
-        call.m_freshConnection = !usesKept;
+        call.m_freshConnection = !usesRetained;
         call.m_headerTimeout = entryHangGuard;
         call.m_silenceTimeout = entryHangGuard;
         return m_loop.call([&] { return read(call); });
--- a/tests/support/request_way_world.hpp
+++ b/tests/support/request_way_world.hpp
@@ -94,7 +94,7 @@
     {
         std::vector<std::shared_ptr<Placed>> m_placed;
         Upstreams m_upstreams;
-        ListStanding m_standing;
+        ListConfirmation m_standing;
         /// What is handed over later arrives later.
         TimePoint m_handedOverAt{};
     };
@@ -109,7 +109,8 @@
                 std::max(traffic.m_handedOverAt, now + m_way.draw(longestHandOver));
         const auto upstreams =
                 std::make_shared<const Upstreams>(vm.m_following->feed().upstreams());
-        const ListStanding standing{vm.m_following->confirmedAt(), m_unconfirmable[m_numbers[&vm]]};
+        const ListConfirmation standing{vm.m_following->confirmedAt(),
+                                        m_unconfirmable[m_numbers[&vm]]};
         later(vm, traffic.m_handedOverAt - now, [this, &vm, &traffic, upstreams, standing] {
             traffic.m_upstreams = *upstreams;
             noteLeaving(vm, traffic);
@@ -127,7 +128,7 @@
             if (isThere || placed->m_isLeaving)
                 continue;
             placed->m_until =
-                    std::min(untilOf(*placed, traffic), now() + PlacementTerm::wayReserve);
+                    std::min(untilOf(*placed, traffic), now() + PlacementDeadline::deliveryMargin);
             placed->m_isLeaving = true;
             takeBackAt(vm, placed, placed->m_until + longestTimerDelay);
         }
@@ -180,7 +181,7 @@
                 return;
             const TimePoint until = untilOf(*placed, trafficOf(vm));
             const bool maySend =
-                    !placed->m_isLeaving && PlacementTerm::maySend(until, connecting, now());
+                    !placed->m_isLeaving && PlacementDeadline::maySend(until, connecting, now());
             if (isConnected && maySend)
                 return send(vm, placed);
             placed->m_request->m_isTakenBack = true;
@@ -203,13 +204,13 @@
         std::size_t kept = 0;
         std::size_t all = 0;
         for (const auto &[id, record] : upstreams) {
-            kept += !record.m_isDraining && record.m_isKept ? 1 : 0;
+            kept += !record.m_isDraining && record.m_isRetained ? 1 : 0;
             all += record.m_isDraining ? 0 : 1;
         }
-        const bool usesKept = UpstreamPool::usesKept(kept, all);
+        const bool usesRetained = UpstreamPool::usesRetained(kept, all);
         std::vector<std::size_t> ready;
         for (const auto &[id, record] : upstreams) {
-            if (!record.m_isDraining && (usesKept || !record.m_isKept))
+            if (!record.m_isDraining && (usesRetained || !record.m_isRetained))
                 ready.push_back(std::stoul(id.text()));
         }
         if (ready.empty())
@@ -290,7 +291,7 @@
     TimePoint now() { return agenda().now(); }
 
     RequestWay m_way;
-    PlacementTerm m_term;
+    PlacementDeadline m_term;
     std::vector<Traffic> m_traffic;
     /// By VM, as its control thread knows it.
     std::vector<bool> m_unconfirmable;
--- a/tests/support/upstream_news_world.hpp
+++ b/tests/support/upstream_news_world.hpp
@@ -240,7 +240,7 @@
         ToldNews &told = reader.m_told[&follower];
         told.m_isBusy = true;
         const TimePoint now = m_agenda.now();
-        const UpstreamNews news = told.m_state.newsFor(reader.m_following->feed(), now);
+        const UpstreamListUpdate news = told.m_state.updateFor(reader.m_following->feed(), now);
         const Duration age = reader.m_following->age(now);
         const auto echo = reader.m_marks[&follower].echo(now);
         const auto receipt = std::make_shared<bool>(false);
@@ -252,7 +252,7 @@
             const TimePoint takenAt = m_agenda.now();
             const ToldAge toldAge{age, sentAfter(echo, follower.m_life, takenAt)};
             const auto taking = follower.m_following->takeNews(news, toldAge, takenAt);
-            if (taking != UpstreamFeed::Taking::Lacking)
+            if (taking != UpstreamFeed::ApplyResult::ChangesMissing)
                 confirmed(follower);
             const Duration back = wayOf(reader);
             if (reader.m_life != life || takenAt + back - now > NewsPace::receiptTimeout)
@@ -263,10 +263,10 @@
                 reader.m_marks[&follower].hear(mark, m_agenda.now());
                 ToldNews &answered = reader.m_told[&follower];
                 answered.m_isBusy = false;
-                if (taking == UpstreamFeed::Taking::Lacking)
-                    answered.m_state.onLacking();
+                if (taking == UpstreamFeed::ApplyResult::ChangesMissing)
+                    answered.m_state.onMissingChanges();
                 else
-                    answered.m_state.onTaken(news);
+                    answered.m_state.onApplied(news);
             });
         });
         later(reader, NewsPace::receiptTimeout, [&reader, &follower, receipt] {
