--- a/include/gypsumdale/entry/config_news.hpp
+++ b/include/gypsumdale/entry/config_news.hpp
@@ -14,13 +14,13 @@
 ///
 /// It answers the load of quick successions of versions in a large fleet, each of which all VMs of
 /// a data centre would read from the store.
-class ConfigNews
+class ConfigSourceSelector
 {
 public:
     /// How often readers are asked at most: versions may follow each other within a tenth of that.
-    static constexpr Duration askEvery = std::chrono::milliseconds(500);
+    static constexpr Duration minRequestInterval = std::chrono::milliseconds(500);
     /// Time that a reader has to bring a newer version before the store is read.
-    static constexpr Duration readerPatience = std::chrono::milliseconds(800);
+    static constexpr Duration readerTimeout = std::chrono::milliseconds(800);
 
     /// Takes in which version a reader holds, and whether it sends it to who asks. Returns whether
     /// to ask it. Constant.
@@ -32,7 +32,7 @@
             m_behindSince = now;
         m_told = std::max(m_told, told);
         m_isSent = isSent;
-        const bool isTooSoon = m_askedAt && now - *m_askedAt < askEvery;
+        const bool isTooSoon = m_askedAt && now - *m_askedAt < minRequestInterval;
         if (!isSent || isTooSoon)
             return false;
         m_askedAt = now;
@@ -48,7 +48,7 @@
     {
         if (m_told <= own)
             return false;
-        return !m_isSent || now - m_behindSince >= readerPatience;
+        return !m_isSent || now - m_behindSince >= readerTimeout;
     }
 
 private:
--- a/include/gypsumdale/entry/confirmation.hpp
+++ b/include/gypsumdale/entry/confirmation.hpp
@@ -16,10 +16,10 @@
 };
 
 /// How old something was that another VM tells.
-struct ToldAge
+struct ReportedAge
 {
     /// As the other VM sent it.
-    Duration m_atSending{};
+    Duration m_ageWhenSent{};
     /// A moment after which it was sent; nothing where that isn't known.
     std::optional<TimePoint> m_sentAfter;
 };
@@ -47,10 +47,10 @@
 
     /// Takes in the word of another VM that holds the same or less; one of unknown age says
     /// nothing. Constant.
-    void take(const ToldAge &age)
+    void take(const ReportedAge &age)
     {
         if (age.m_sentAfter)
-            take(*age.m_sentAfter - age.m_atSending);
+            take(*age.m_sentAfter - age.m_ageWhenSent);
     }
 
     TimePoint at() const { return m_at; }
--- a/include/gypsumdale/entry/entry_config_feed.hpp
+++ b/include/gypsumdale/entry/entry_config_feed.hpp
@@ -27,24 +27,24 @@
     void follow();
 
     /// Called after a reading of the store that brought nothing, on the control thread.
-    using ReadingFailed = std::function<void()>;
-    void onReadingFailed(ReadingFailed failed) { m_readingFailed = std::move(failed); }
+    using StoreReadFailed = std::function<void()>;
+    void onStoreReadFailed(StoreReadFailed failed) { m_readingFailed = std::move(failed); }
 
     /// Says whether a peer is about to bring the whole text: the store isn't asked for it besides.
     void setFetching(bool isFetching) { m_isFetching = isFetching; }
     bool isFetching() const { return m_isFetching; }
     /// Tells whether the store has been asked for the whole text and has not answered yet.
-    bool isReadingWhole() const { return m_isReadingWhole; }
+    bool isReadingFullText() const { return m_isReadingWhole; }
 
     /// Takes a version as a peer passed it on. Returns true if it was new.
-    bool takeFromPeer(const std::string &text, const std::string &peer);
+    bool applyFromPeer(const std::string &text, const std::string &peer);
 
     /// Says how this VM learns of versions from now on.
     void setRole(StoreRole role) { m_role = role; }
     StoreRole role() const { return m_role; }
     /// Takes in which version a reader of this data centre holds, how long ago the store confirmed
     /// it, and whether the reader sends it to who asks. Returns whether to ask.
-    bool takeNews(std::int64_t version, const ToldAge &age, bool isSent);
+    bool receiveUpdate(std::int64_t version, const ReportedAge &age, bool isSent);
     /// How long ago the store surely had no later version than the one in force.
     Duration age() const { return m_context.now() - m_confirmation.at(); }
 
@@ -68,7 +68,7 @@
 
     EntryContext &m_context;
     Adopted m_adopted;
-    DependencyWatch m_store;
+    DependencyMonitor m_store;
     ServingViewPointer m_view;
     std::string m_text;
     std::int64_t m_version = 0;
@@ -78,8 +78,8 @@
     Confirmation m_confirmation;
     /// When the store last answered this VM itself.
     TimePoint m_readAt{};
-    ConfigNews m_news;
-    ReadingFailed m_readingFailed;
+    ConfigSourceSelector m_news;
+    StoreReadFailed m_readingFailed;
     bool m_isFetching = false;
     bool m_isReadingWhole = false;
 };
--- a/include/gypsumdale/entry/entry_context.hpp
+++ b/include/gypsumdale/entry/entry_context.hpp
@@ -33,10 +33,10 @@
 };
 
 /// Tells once when a dependency is lost and once when it is back.
-class DependencyWatch
+class DependencyMonitor
 {
 public:
-    DependencyWatch(Logger &log, const char *name)
+    DependencyMonitor(Logger &log, const char *name)
         : m_log(log)
         , m_name(name)
     {}
--- a/include/gypsumdale/entry/entry_peers.hpp
+++ b/include/gypsumdale/entry/entry_peers.hpp
@@ -27,12 +27,12 @@
 namespace gypsumdale {
 
 /// A peer in the own data centre.
-struct NearPeer
+struct DataCentrePeer
 {
     NodeId m_node;
     KnownPeerPointer m_peer;
     /// Whether it can read the store for others.
-    bool m_mayRead = false;
+    bool m_canReadStore = false;
 };
 
 /// Exchanges what VMs know with every other entry VM: of each pair the one with the lower address
@@ -51,42 +51,42 @@
     void run();
 
     /// Tells all peers at once, after a version was adopted.
-    void tellAll();
+    void announceToAll();
 
     /// Takes what the traffic thread knows as the report that goes out from now on.
-    void takeReport();
+    void collectReport();
     /// Sends the peers what this VM counted last, as it is about to end and its exchanges are over:
     /// in a large fleet the holder of the duties and some more, otherwise all. Doesn't wait.
-    void sayFarewell();
+    void sendFinalReport();
     /// Waits until the peers have taken the farewell, but not longer than until the time given.
-    void awaitFarewell(TimePoint end);
+    void awaitFinalReport(TimePoint end);
 
     /// Takes in the address of a VM that was told of.
     void learn(const std::string &node, const std::string &address, bool isSeed);
     /// Takes in how many VMs the registry has.
     void setRegistered(std::size_t vms);
     /// Tells whether the VM at an address was heard lately enough to be part of the fleet.
-    bool isMember(const std::string &address) const
+    bool isLivePeer(const std::string &address) const
     {
-        return m_table.isMember(address, m_context.now());
+        return m_table.isLivePeer(address, m_context.now());
     }
     const std::string &ownAddress() const { return m_table.ownAddress(); }
 
     /// Says under which number and stored revision this VM holds the duties; 0 if it doesn't.
     void setDuty(std::int64_t fence, std::int64_t revision) { m_writer.setDuty(fence, revision); }
     bool holdsDuty() const { return m_writer.holdsDuty(); }
-    using DutyHeard = std::function<void(std::int64_t fence, std::int64_t revision)>;
-    void onDutyHeard(DutyHeard heard) { m_dutyHeard = std::move(heard); }
+    using DutyReported = std::function<void(std::int64_t fence, std::int64_t revision)>;
+    void onDutyReported(DutyReported heard) { m_dutyHeard = std::move(heard); }
 
     /// Tells all peers what this VM has put on an upstream. Without an answer nothing is done: the
     /// next exchange brings it.
-    void tellLoad(const UpstreamId &upstream, InFlightLoad load);
+    void announceLoad(const UpstreamId &upstream, InFlightLoad load);
 
     /// Called with news of the store, and with a moment after which they were sent if that is
     /// known; returns what this VM lacks beyond that.
-    using NewsHeard = std::function<entrywire::StoreNewsTaken(const entrywire::StoreNews &,
-                                                              std::optional<TimePoint> sentAfter)>;
-    void onNews(NewsHeard heard) { m_newsHeard = std::move(heard); }
+    using StoreUpdateReceived = std::function<entrywire::StoreNewsTaken(
+            const entrywire::StoreNews &, std::optional<TimePoint> sentAfter)>;
+    void onStoreUpdate(StoreUpdateReceived heard) { m_newsHeard = std::move(heard); }
     /// Stamps a message so that its receiver can tell its age, sends it to a peer, and waits for
     /// the answer. Errors: those of the channel, and PeerMalformed, which is logged.
     Result<entrywire::EntryExchange> ask(const KnownPeerPointer &peer,
@@ -97,7 +97,7 @@
     /// Returns a moment after which a message was sent, if its stamp tells.
     std::optional<TimePoint> sentAfter(const entrywire::EntryExchange &message) const;
     /// Returns the peers of the own data centre that were heard lately.
-    std::vector<NearPeer> nearPeers() const;
+    std::vector<DataCentrePeer> dataCentrePeers() const;
     /// Tells whether exchanges are spread out for the size of the fleet.
     bool isLargeFleet() const { return pace().isSpreadOut(); }
 
@@ -109,7 +109,7 @@
     FrameTraffic traffic() const;
 
 private:
-    ExchangePace pace() const { return m_table.pace(m_context.now()); }
+    ExchangePacing pace() const { return m_table.pace(m_context.now()); }
     void tellTraffic();
     void spawnExchange(const KnownPeerPointer &peer);
     void exchange(const KnownPeerPointer &peer);
@@ -123,7 +123,7 @@
     void hearMark(KnownPeer &peer, const entrywire::EntryExchange &message);
     MessageStamp stampFor(const KnownPeer *peer) const;
     void takeLoad(const entrywire::LoadNews &news);
-    void hear(const entrywire::EntryExchange &message);
+    void recordReceived(const entrywire::EntryExchange &message);
 
     EntryContext &m_context;
     EntryConfigFeed &m_config;
@@ -133,8 +133,8 @@
     FleetSizeEstimate m_fleetSize;
     ExchangeWriter m_writer;
     EntryTexts m_texts;
-    DutyHeard m_dutyHeard;
-    NewsHeard m_newsHeard;
+    DutyReported m_dutyHeard;
+    StoreUpdateReceived m_newsHeard;
     /// Who said last that it holds the duties.
     std::string m_holderAddress;
     int m_farewellsUnderWay = 0;
--- a/include/gypsumdale/entry/entry_registry.hpp
+++ b/include/gypsumdale/entry/entry_registry.hpp
@@ -29,7 +29,7 @@
 
     EntryContext &m_context;
     EntryPeers &m_peers;
-    RegistrySilence m_silence;
+    RegistryExpiry m_silence;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_store_news.hpp
+++ b/include/gypsumdale/entry/entry_store_news.hpp
@@ -21,11 +21,11 @@
 /// without a word; where they differ for a moment, more VMs read. A follower that isn't told in
 /// time reads for itself, so that readers may be lost at any moment: the bounds hold with a part of
 /// them left for its own reading.
-class EntryStoreNews
+class EntryStoreRelay
 {
 public:
-    EntryStoreNews(EntryContext &context, EntryConfigFeed &config, EntryUpstreamFeed &upstreams,
-                   EntryPeers &peers);
+    EntryStoreRelay(EntryContext &context, EntryConfigFeed &config, EntryUpstreamFeed &upstreams,
+                    EntryPeers &peers);
 
     /// Chooses this VM's role and tells the followers until the process stops. Runs in a fiber of
     /// its own.
@@ -35,7 +35,7 @@
     struct Follower
     {
         FollowerState m_state;
-        ReceiptPause m_pause;
+        ReceiptBackoff m_pause;
         bool m_isBusy = false;
 
         /// Tells whether it may be told now.
@@ -48,10 +48,10 @@
     enum class ConfigPart { Version, Whole };
 
     void chooseRole();
-    NewsState newsState() const;
+    UpdateState newsState() const;
     void tellAll();
-    void tell(const NearPeer &peer);
-    entrywire::StoreNewsTaken tellPart(const NearPeer &peer, ConfigPart part);
+    void tell(const DataCentrePeer &peer);
+    entrywire::StoreNewsTaken tellPart(const DataCentrePeer &peer, ConfigPart part);
     entrywire::StoreNewsTaken take(const entrywire::StoreNews &news,
                                    std::optional<TimePoint> sentAfter);
 
@@ -62,7 +62,7 @@
     StoreRole m_role = StoreRole::Alone;
     /// By address.
     std::map<std::string, Follower> m_followers;
-    NewsPace m_pace;
+    UpdatePacing m_pace;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_texts.hpp
+++ b/include/gypsumdale/entry/entry_texts.hpp
@@ -44,7 +44,7 @@
                const PeerTable &table, EntryPeers &peers);
 
     /// Asks a peer where it is time to. Doesn't wait. Linear in the peers.
-    void pursue();
+    void startFetches();
 
     /// Returns the answer to a peer that asks.
     TextReply answer(const entrywire::TextRequest &request);
@@ -58,10 +58,10 @@
                       const entrywire::EntryExchange &answer);
     bool takeText(TextKind kind, const KnownPeerPointer &peer,
                   const entrywire::EntryExchange &answer);
-    TextNeed configNeed() const;
+    TextFetchState configNeed() const;
     std::int64_t held(TextKind kind) const;
     TextFetch &fetchOf(TextKind kind);
-    TextServing &servingOf(TextKind kind);
+    TextSendLimiter &servingOf(TextKind kind);
 
     EntryContext &m_context;
     EntryConfigFeed &m_config;
@@ -70,8 +70,8 @@
     EntryPeers &m_peers;
     TextFetch m_configFetch;
     TextFetch m_upstreamFetch;
-    TextServing m_configServing;
-    TextServing m_upstreamServing;
+    TextSendLimiter m_configServing;
+    TextSendLimiter m_upstreamServing;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_traffic.hpp
+++ b/include/gypsumdale/entry/entry_traffic.hpp
@@ -80,52 +80,52 @@
     void handle(const HttpRequest &request, HttpResponder &responder);
 
     /// Keeps a request among those under way as long as it lives.
-    class CallUnderWay
+    class CallRegistration
     {
     public:
-        CallUnderWay(std::set<EntryCall *> &calls, EntryCall &call)
+        CallRegistration(std::set<EntryCall *> &calls, EntryCall &call)
             : m_calls(calls)
             , m_call(&call)
         {
             m_calls.insert(m_call);
         }
-        ~CallUnderWay() { m_calls.erase(m_call); }
-        CallUnderWay(const CallUnderWay &) = delete;
-        CallUnderWay &operator=(const CallUnderWay &) = delete;
+        ~CallRegistration() { m_calls.erase(m_call); }
+        CallRegistration(const CallRegistration &) = delete;
+        CallRegistration &operator=(const CallRegistration &) = delete;
 
     private:
         std::set<EntryCall *> &m_calls;
         EntryCall *m_call;
     };
-    CallUnderWay noteUnderWay(EntryCall &call);
+    CallRegistration registerCall(EntryCall &call);
 
     /// Ends the requests under way, and from now on each that begins: the process is about to end,
     /// and their callers would see their connections end without an answer. Returns how many are
     /// under way.
-    std::size_t endCalls();
+    std::size_t cancelCalls();
 
     void setView(ServingViewPointer view)
     {
         m_view = std::move(view);
-        m_firstKnowledge.noteConfiguration();
+        m_firstKnowledge.recordConfiguration();
     }
     /// Tells whether a request should wait for what this process doesn't know yet.
-    bool isWorthWaiting() const { return m_firstKnowledge.isWorthWaiting(now()); }
+    bool shouldWaitForStartup() const { return m_firstKnowledge.shouldWaitForStartup(now()); }
     void setUpstreams(const std::map<UpstreamId, UpstreamRecord> &upstreams, std::int64_t revision);
     /// Takes in what is known of the age of the list in use, and for how long a list holds.
     void setListStanding(const ListConfirmation &list, const PlacementDeadline &term);
     Duration listAge() const { return now() - m_list.m_confirmedAt; }
     /// Returns until when a request placed now may reach its upstream, or nothing where the list is
     /// too old to place by. Constant.
-    std::optional<TimePoint> placementUntil() const { return m_term.until(m_list, now()); }
+    std::optional<TimePoint> placementDeadline() const { return m_term.until(m_list, now()); }
     /// Returns the same for a request placed earlier, at an upstream that doesn't leave. Constant.
-    TimePoint renewedUntil(TimePoint placedUntil) const
+    TimePoint renewedDeadline(TimePoint placedUntil) const
     {
         return m_term.renewed(placedUntil, m_list);
     }
     /// Returns until when a run may go on at an upstream that leaves, or nothing where that time is
     /// over or unknown. Constant.
-    std::optional<TimePoint> untilWhileLeaving(const PooledUpstream &upstream) const;
+    std::optional<TimePoint> deadlineWhileLeaving(const PooledUpstream &upstream) const;
     /// Returns the highest age in milliseconds of the list at a placement since the last call, or
     /// nothing if there was none. Safe from any thread.
     std::optional<std::int64_t> takePlacementListAge() { return m_placementListAge.take(); }
@@ -210,7 +210,7 @@
     std::unique_ptr<RunMover> m_mover;
     std::set<EntryCall *> m_calls;
     bool m_isEndingCalls = false;
-    FirstKnowledge m_firstKnowledge;
+    StartupKnowledge m_firstKnowledge;
     LongPromptPlaced m_longPromptPlaced;
     SteadyWallClock m_wall;
     std::map<std::string, WallMillis> m_peerOffsets;
--- a/include/gypsumdale/entry/entry_upstream_feed.hpp
+++ b/include/gypsumdale/entry/entry_upstream_feed.hpp
@@ -26,14 +26,14 @@
 
     /// Takes a list that a peer read at a revision, if the own one has gone stale. Returns whether
     /// it was taken.
-    bool takeFromPeer(const std::string &text, std::int64_t revision, ToldAge age,
-                      const std::string &peer);
+    bool applyFromPeer(const std::string &text, std::int64_t revision, ReportedAge age,
+                       const std::string &peer);
 
     /// Says how this VM learns the list from now on.
     void setRole(StoreRole role) { m_following.setRole(role); }
     /// Takes what a reader of this data centre tells. Returns false if this VM lacks more than
     /// that.
-    bool takeNews(const UpstreamListUpdate &news, ToldAge age, std::string_view reader);
+    bool receiveUpdate(const UpstreamListUpdate &news, ReportedAge age, std::string_view reader);
     /// Returns what a follower lacks.
     UpstreamListUpdate updateFor(const FollowerState &follower) const;
     std::int64_t newestChange() const { return feed().history().newest(); }
@@ -54,15 +54,15 @@
     const UpstreamFeed &feed() const { return m_following.feed(); }
     void readWhole();
     void watchOnce(const WatchStep &step);
-    void noteFailed(const Error &error, ReadingFailure failure);
+    void noteFailed(const Error &error, ReadFailure failure);
     /// Hands the list on if it changed for routing; the source is for the log.
     void publish(std::string_view source);
     void publishStanding();
     void logUnusable(std::string_view source);
 
     EntryContext &m_context;
-    DependencyWatch m_store;
-    UpstreamFollowing m_following;
+    DependencyMonitor m_store;
+    UpstreamListSync m_following;
     std::map<UpstreamId, UpstreamRecord> m_published;
     std::set<UpstreamId> m_loggedUnusable;
 };
--- a/include/gypsumdale/entry/exchange_pace.hpp
+++ b/include/gypsumdale/entry/exchange_pace.hpp
@@ -9,14 +9,14 @@
 namespace gypsumdale {
 
 /// How far apart exchanges with so many peers are, and what silence means at that pace.
-class ExchangePace
+class ExchangePacing
 {
 public:
     /// How often a pair exchanges in a small fleet. Quotas are overrun by what comes in during one
     /// exchange.
-    static constexpr Duration exchangeEvery = std::chrono::milliseconds(250);
+    static constexpr Duration exchangeInterval = std::chrono::milliseconds(250);
 
-    explicit ExchangePace(std::size_t peers)
+    explicit ExchangePacing(std::size_t peers)
         : m_stretch(static_cast<int>(
                 std::max<std::size_t>(1, (peers + peersAtFullPace - 1) / peersAtFullPace)))
     {}
@@ -26,9 +26,9 @@
     bool isSpreadOut() const { return m_stretch > 1; }
 
     /// Silence after which the side of a pair that doesn't begin does.
-    Duration silenceBeforeBeginning() const { return lostExchanges * m_stretch; }
+    Duration initiationTimeout() const { return lostExchanges * m_stretch; }
     /// Silence within which a peer counts as heard just now.
-    Duration heardWithin() const { return heardAtFullPace * m_stretch; }
+    Duration respondingWithin() const { return heardAtFullPace * m_stretch; }
 
 private:
     /// Beyond this many peers exchanges are spread out, so that a VM's control stays within its
--- a/include/gypsumdale/entry/first_knowledge.hpp
+++ b/include/gypsumdale/entry/first_knowledge.hpp
@@ -8,19 +8,19 @@
 /// cut callers come back as soon as a VM takes their connections, some milliseconds before the
 /// store has told it anything. Sent away, they are late, and one that comes back a single time may
 /// be lost; kept for that moment they are served.
-class FirstKnowledge
+class StartupKnowledge
 {
 public:
-    explicit FirstKnowledge(TimePoint startedAt)
+    explicit StartupKnowledge(TimePoint startedAt)
         : m_startedAt(startedAt)
     {}
 
-    void noteConfiguration() { m_knowsConfiguration = true; }
-    void noteUpstreams() { m_knowsUpstreams = true; }
+    void recordConfiguration() { m_knowsConfiguration = true; }
+    void recordUpstreams() { m_knowsUpstreams = true; }
 
     /// Tells whether a request should wait for what is not known yet. One that comes later than the
     /// store needs is answered at once: another VM may know more.
-    bool isWorthWaiting(TimePoint now) const
+    bool shouldWaitForStartup(TimePoint now) const
     {
         const bool isComplete = m_knowsConfiguration && m_knowsUpstreams;
         return !isComplete && now < m_startedAt + learningTime;
--- a/include/gypsumdale/entry/fleet_size_estimate.hpp
+++ b/include/gypsumdale/entry/fleet_size_estimate.hpp
@@ -23,14 +23,14 @@
     /// Returns the VMs that the fleet should have, as long as this process has not had the time to
     /// hear them, or hears fewer than the registry names and may still hear the rest; 0 after that.
     /// Members are the peers heard, seeds those that the settings name.
-    std::size_t expected(std::size_t members, std::size_t seeds, TimePoint now) const;
+    std::size_t expected(std::size_t livePeers, std::size_t seeds, TimePoint now) const;
 
     /// Returns the VMs that budgets are shared with, this one among them.
-    std::size_t size(std::size_t members, TimePoint now) const;
+    std::size_t size(std::size_t livePeers, TimePoint now) const;
 
 private:
     bool isLearning(TimePoint now) const;
-    bool isMissingRegistered(std::size_t members, TimePoint now) const;
+    bool isMissingRegistered(std::size_t livePeers, TimePoint now) const;
 
     TimePoint m_startedAt;
     bool m_isFirstStart;
--- a/include/gypsumdale/entry/message_age.hpp
+++ b/include/gypsumdale/entry/message_age.hpp
@@ -31,14 +31,14 @@
 };
 
 /// The last mark of a peer that was heard, to be echoed.
-class HeardMark
+class LastPeerTimestamp
 {
 public:
     /// Constant.
-    void hear(const ClockMark &mark, TimePoint now)
+    void recordReceived(const ClockMark &mark, TimePoint now)
     {
         m_mark = mark;
-        m_heardAt = now;
+        m_lastReceivedAt = now;
     }
 
     /// Returns the echo for a message that is sent now; nothing before the first mark. Constant.
@@ -46,17 +46,17 @@
     {
         if (!m_mark)
             return std::nullopt;
-        return ClockEcho{*m_mark, now - m_heardAt};
+        return ClockEcho{*m_mark, now - m_lastReceivedAt};
     }
 
 private:
     std::optional<ClockMark> m_mark;
-    TimePoint m_heardAt{};
+    TimePoint m_lastReceivedAt{};
 };
 
 /// Tells messages of a peer that were overtaken by a later one: each side begins exchanges, and
 /// what was given up as late may still arrive.
-class NewestMark
+class SupersededFilter
 {
 public:
     /// Takes in when a message was sent. Returns false if one of the same process that was sent
--- a/include/gypsumdale/entry/peer_table.hpp
+++ b/include/gypsumdale/entry/peer_table.hpp
@@ -37,27 +37,27 @@
     /// For whoever exchanges with it; the table only keeps it.
     std::shared_ptr<FrameChannel> m_channel;
     PeerState m_state;
-    HeardMark m_mark;
-    NewestMark m_newestDigest;
-    TimePoint m_heardAt{};
+    LastPeerTimestamp m_mark;
+    SupersededFilter m_newestDigest;
+    TimePoint m_lastReceivedAt{};
     TimePoint m_knownSince{};
     /// When this VM last began an exchange with it in its turn.
     TimePoint m_begunAt{};
     /// When this process of it was first heard.
-    TimePoint m_startHeardAt{};
+    TimePoint m_processFirstReceivedAt{};
     bool m_isSeed = false;
     bool m_isBusy = false;
     bool m_isSilent = false;
 
-    bool wasEverHeard() const { return m_heardAt != TimePoint{}; }
+    bool hasEverReported() const { return m_lastReceivedAt != TimePoint{}; }
 };
 
 using KnownPeerPointer = std::shared_ptr<KnownPeer>;
 
 /// Returns up to so many of some peers, from a place on that wraps around. Linear in those
 /// returned.
-std::vector<KnownPeerPointer> sliceOf(const std::vector<KnownPeerPointer> &peers, std::size_t first,
-                                      std::size_t count);
+std::vector<KnownPeerPointer> wrappedSlice(const std::vector<KnownPeerPointer> &peers,
+                                           std::size_t first, std::size_t count);
 
 /// The other VMs that this one knows, and who of them belongs to the fleet: those that were heard
 /// within half a minute.
@@ -76,7 +76,7 @@
                            TimePoint now);
 
     /// Notes what a peer said. Returns whether it had been silent before. Constant.
-    static bool hear(KnownPeer &peer, const PeerState &state, TimePoint now);
+    static bool recordReceived(KnownPeer &peer, const PeerState &state, TimePoint now);
 
     struct SilentPeer
     {
@@ -86,7 +86,7 @@
     /// Peers that have not been heard.
     struct Silence
     {
-        std::vector<SilentPeer> m_fellSilent;
+        std::vector<SilentPeer> m_newlySilent;
         /// Those replaced by now. Seeds among them are still called.
         std::vector<KnownPeerPointer> m_gone;
     };
@@ -94,31 +94,31 @@
     Silence expire(TimePoint now);
 
     /// Tells whether a peer was heard lately enough to count as part of the fleet.
-    static bool isMember(const KnownPeer &peer, TimePoint now);
-    bool isMember(const std::string &address, TimePoint now) const;
+    static bool isLivePeer(const KnownPeer &peer, TimePoint now);
+    bool isLivePeer(const std::string &address, TimePoint now) const;
     /// Returns the number of peers that are part of the fleet. Linear in the peers.
-    std::size_t members(TimePoint now) const;
+    std::size_t livePeers(TimePoint now) const;
     /// Takes in how many VMs the fleet should have, until they could be heard; 0 from then on.
     void setExpected(std::size_t vms) { m_expected = vms; }
     /// Returns the pace for the peers that are heard or expected. Linear in the peers.
-    ExchangePace pace(TimePoint now) const;
+    ExchangePacing pace(TimePoint now) const;
 
     /// Returns the members that don't count as silent. Linear in the peers.
-    std::vector<KnownPeerPointer> heardMembers(TimePoint now) const;
+    std::vector<KnownPeerPointer> respondingPeers(TimePoint now) const;
     /// Returns those heard just now, at the pace of the fleet. Linear in the peers.
-    std::vector<KnownPeerPointer> heardJustNow(TimePoint now) const;
+    std::vector<KnownPeerPointer> recentPeers(TimePoint now) const;
     /// Returns for how long the member that said its last word first has been silent; nothing is
     /// expected of one that left. Linear in the peers.
     Duration longestSilence(TimePoint now) const;
 
     /// Returns those with whom it is this VM's turn to begin an exchange. Linear in the peers.
-    std::vector<KnownPeerPointer> toBegin(TimePoint now) const;
+    std::vector<KnownPeerPointer> duePeers(TimePoint now) const;
     /// Returns those of them to begin with at this exchange time, and notes that: in a large fleet
     /// as many each time, so that a VM never exchanges with half of the fleet at one moment and
     /// keeps its callers waiting. Linear in the peers, and sorts those that are due.
-    std::vector<KnownPeerPointer> takeTurns(TimePoint now);
+    std::vector<KnownPeerPointer> selectDuePeers(TimePoint now);
     /// Returns up to so many that are not asked yet, others at each call.
-    std::vector<KnownPeerPointer> someOutOfTurn(std::size_t count);
+    std::vector<KnownPeerPointer> selectOutOfTurn(std::size_t count);
 
     /// Returns the peer at an address, or nothing. Logarithmic in the peers.
     KnownPeerPointer find(const std::string &address) const;
--- a/include/gypsumdale/entry/peer_wire.hpp
+++ b/include/gypsumdale/entry/peer_wire.hpp
@@ -15,7 +15,7 @@
 namespace gypsumdale {
 
 /// Writes down what this VM has in flight at an upstream.
-entrywire::UpstreamLoad wireLoad(const UpstreamId &upstream, const InFlightLoad &load);
+entrywire::UpstreamLoad encodeLoad(const UpstreamId &upstream, const InFlightLoad &load);
 InFlightLoad loadOf(const entrywire::UpstreamLoad &told);
 
 /// Writes down what the traffic thread reported last. Of the usage windows the last few are told.
@@ -26,7 +26,7 @@
                entrywire::EntryDigest &digest);
 
 /// Reads what a peer reported; its wall time is compared with this VM's.
-PeerReport reportOf(const entrywire::EntryDigest &digest, WallMillis ownWall);
+PeerReport decodeReport(const entrywire::EntryDigest &digest, WallMillis ownWall);
 
 /// Reads what a peer says of itself.
 PeerState stateOf(const entrywire::EntryDigest &digest);
--- a/include/gypsumdale/entry/text_fetch.hpp
+++ b/include/gypsumdale/entry/text_fetch.hpp
@@ -19,7 +19,7 @@
 };
 
 /// What a VM knows when it decides whether to ask a peer for a whole text.
-struct TextNeed
+struct TextFetchState
 {
     /// The version that it holds; 0 if it has none.
     std::int64_t m_ownVersion = 0;
@@ -42,8 +42,8 @@
 {
 public:
     /// Pause after the first failure, before jitter.
-    static constexpr Duration firstPause = std::chrono::milliseconds(100);
-    static constexpr Duration longestPause = std::chrono::milliseconds(1000);
+    static constexpr Duration initialBackoff = std::chrono::milliseconds(100);
+    static constexpr Duration maxBackoff = std::chrono::milliseconds(1000);
 
     /// The seed is to differ between VMs, so that they don't ask the same peer at one moment.
     explicit TextFetch(std::uint64_t seed)
@@ -52,18 +52,18 @@
 
     /// Returns whom to ask now, if anybody, and notes that it is asked. The sources are peers that
     /// were heard lately; those that hold no later version than this VM don't count. Linear.
-    std::optional<std::string> begin(const TextNeed &need, const std::vector<TextSource> &sources,
-                                     TimePoint now);
+    std::optional<std::string> begin(const TextFetchState &need,
+                                     const std::vector<TextSource> &sources, TimePoint now);
 
     /// Notes that the peer asked brought the text. Constant.
-    void onBrought();
+    void onFetched();
     /// Notes that it didn't, or that it was busy. Constant.
     void onFailed(TimePoint now);
 
     bool isUnderWay() const { return m_isUnderWay; }
 
 private:
-    bool isLeftToStore(const TextNeed &need, TimePoint now);
+    bool isLeftToStore(const TextFetchState &need, TimePoint now);
     Duration nextPause();
 
     pcg32 m_random;
@@ -79,16 +79,16 @@
 };
 
 /// Lets a VM send only a few whole texts at a time; who asks beyond that is told to ask another.
-class TextServing
+class TextSendLimiter
 {
 public:
     /// Two links' worth of one VM's: more at once would only make each of them slower.
-    static constexpr int mostAtOnce = 2;
+    static constexpr int maxConcurrentSends = 2;
 
     /// Returns whether one more may be sent, and counts it. Constant.
     bool tryBegin()
     {
-        if (m_underWay >= mostAtOnce)
+        if (m_underWay >= maxConcurrentSends)
             return false;
         ++m_underWay;
         return true;
--- a/include/gypsumdale/entry/upstream_following.hpp
+++ b/include/gypsumdale/entry/upstream_following.hpp
@@ -14,7 +14,7 @@
 namespace gypsumdale {
 
 /// The list needs no reading for this long.
-struct RestStep
+struct IdleStep
 {
     Duration m_time{};
 };
@@ -30,10 +30,10 @@
     Duration m_wait{};
 };
 
-using FollowingStep = std::variant<RestStep, ListStep, WatchStep>;
+using SyncStep = std::variant<IdleStep, ListStep, WatchStep>;
 
 /// Why a reading brought nothing.
-enum class ReadingFailure {
+enum class ReadFailure {
     Unanswered,
     /// The store has dropped the history behind the revision.
     HistoryGone,
@@ -47,32 +47,32 @@
 /// And upstreams write all the time, so that a watch answers at once: pauses let changes collect.
 ///
 /// Knows no network and no clock of its own; called from one thread.
-class UpstreamFollowing
+class UpstreamListSync
 {
 public:
     /// Keeps a reference to the bounds, which a reload may change.
-    explicit UpstreamFollowing(const EntryBounds &bounds);
+    explicit UpstreamListSync(const EntryBounds &bounds);
 
     /// Says how this VM learns the list from now on.
     void setRole(StoreRole role) { m_role = role; }
 
-    /// Returns what to do next. After a reading, pauseAfterReading comes first. Constant.
-    FollowingStep next(TimePoint now) const;
-    Duration pauseAfterReading(TimePoint now) const;
+    /// Returns what to do next. After a reading, delayAfterRead comes first. Constant.
+    SyncStep next(TimePoint now) const;
+    Duration delayAfterRead(TimePoint now) const;
 
     /// Take in what a reading brought. Return false if a peer told of a later revision meanwhile,
     /// which the answer would undo. Linear.
-    bool takeListing(UpstreamList list, TimePoint sentAt, TimePoint now);
-    bool takeChanges(const std::vector<UpstreamChange> &changes, std::int64_t revision,
-                     const WatchTimes &times);
-    void noteFailed(ReadingFailure failure);
+    bool applyListing(UpstreamList list, TimePoint sentAt, TimePoint now);
+    bool applyChanges(const std::vector<UpstreamChange> &changes, std::int64_t revision,
+                      const WatchTimes &times);
+    void noteFailed(ReadFailure failure);
 
     /// Takes the list that a peer read, if the own one has gone stale. Returns whether it was
     /// taken. Linear.
-    bool takeFromPeer(UpstreamList list, const ToldAge &age, TimePoint now);
+    bool applyFromPeer(UpstreamList list, const ReportedAge &age, TimePoint now);
     /// Takes what a reader of this data centre tells. Linear.
-    UpstreamFeed::ApplyResult takeNews(const UpstreamListUpdate &news, const ToldAge &age,
-                                       TimePoint now);
+    UpstreamFeed::ApplyResult receiveUpdate(const UpstreamListUpdate &news, const ReportedAge &age,
+                                            TimePoint now);
 
     /// Drops entries whose time to come back is over. Returns true if any was. Linear.
     bool expire(TimePoint now) { return m_feed.expire(now); }
--- a/src/entry/entry_call.cpp
+++ b/src/entry/entry_call.cpp
@@ -54,7 +54,7 @@
     // What is rejected for want of room is not taken from the account's quota.
     if (!hasRoomInTime() || !admitByQuota())
         return;
-    const EntryTraffic::CallUnderWay underWay = m_traffic.noteUnderWay(*this);
+    const EntryTraffic::CallRegistration underWay = m_traffic.registerCall(*this);
     m_responder.onCallerGone([this] {
         m_isCallerGone = true;
         m_cancellation->cancel();
@@ -63,7 +63,7 @@
     m_responder.onCallerGone(nullptr);
 }
 
-void EntryCall::endForStop()
+void EntryCall::cancelForShutdown()
 {
     m_isStopping = true;
     m_cancellation->cancel();
@@ -149,7 +149,7 @@
         const bool isFirst = m_arrivals == 0 && m_connectFailures == 0;
         if (const auto stop = whyNoFurtherAttempt(isFirst))
             return *stop;
-        const std::optional<TimePoint> until = m_traffic.placementUntil();
+        const std::optional<TimePoint> until = m_traffic.placementDeadline();
         if (!until) {
             m_traffic.metrics().add(Counter::ListTooOld);
             return AttemptStop::ListTooOld;
@@ -165,14 +165,14 @@
         m_tried.insert(upstream->m_record.m_id);
         logPlaced(*upstream, *until);
         const bool isAlone = readsAlone(*upstream);
-        UpstreamHold hold(upstream, m_caller.m_promptTokens);
+        InFlightGuard hold(upstream, m_caller.m_promptTokens);
         const TimePoint sentAt = m_traffic.now();
         m_traffic.recordPlacement(*upstream, ownTokens(), request.m_isAnnounced);
         m_traffic.forecaster().recordPlacement(m_service, priority(), m_caller.m_promptTokens,
                                                ownTokens(), sentAt);
         CallResult<HttpExchange> opened =
-                send(hold,
-                     std::make_shared<PlacementCallTerm>(m_traffic, *until, TermRenewal::WithList));
+                send(hold, std::make_shared<PlacementCallDeadline>(
+                                   m_traffic, *until, DeadlineRenewal::OnConfirmation));
         if (const auto *failure = std::get_if<CallFailure>(&opened)) {
             noteFailure(hold, *failure);
             continue;
@@ -197,8 +197,8 @@
 /// have started again after that: a connection to the process before may stay silent for good where
 /// it was cut off as it crashed, and its caller would wait in vain until the deadline. It ends as
 /// well where the request has not arrived within the term of its placement.
-CallResult<HttpExchange> EntryCall::send(UpstreamHold &hold,
-                                         const std::shared_ptr<PlacementCallTerm> &term)
+CallResult<HttpExchange> EntryCall::send(InFlightGuard &hold,
+                                         const std::shared_ptr<PlacementCallDeadline> &term)
 {
     m_cancellation = std::make_shared<CallCancellation>();
     if (m_isCallerGone || m_isStopping)
@@ -286,7 +286,7 @@
     return isUnsent;
 }
 
-void EntryCall::noteFailure(UpstreamHold &hold, const CallFailure &failure)
+void EntryCall::noteFailure(InFlightGuard &hold, const CallFailure &failure)
 {
     if (failure.m_error.m_id == ErrorId::Cancelled && m_isCallerGone)
         return;
--- a/src/entry/entry_call.hpp
+++ b/src/entry/entry_call.hpp
@@ -45,7 +45,7 @@
 struct OpenAnswer
 {
     HttpExchange m_exchange;
-    UpstreamHold m_hold;
+    InFlightGuard m_hold;
     /// When it was sent, if its prompt was the only one to be read there.
     std::optional<TimePoint> m_aloneSince;
 };
@@ -63,7 +63,7 @@
 
     /// Gives the attempt under way up for the end of the process. The request ends as truth allows:
     /// as not run, as one that may have run, or as a stream that is visibly cut.
-    void endForStop();
+    void cancelForShutdown();
 
 private:
     /// What is left at the deadline must be enough for an upstream to begin.
@@ -83,8 +83,8 @@
     void serveStream();
 
     Opening openAnswer();
-    CallResult<HttpExchange> send(UpstreamHold &hold,
-                                  const std::shared_ptr<PlacementCallTerm> &term);
+    CallResult<HttpExchange> send(InFlightGuard &hold,
+                                  const std::shared_ptr<PlacementCallDeadline> &term);
     std::optional<AttemptStop> whyNoFurtherAttempt(bool isFirst);
     PlacementRequest placement() const;
     bool readsAlone(const PooledUpstream &upstream) const;
@@ -100,7 +100,7 @@
     bool passRun(OpenAnswer &answer);
     /// Goes on with a run that was moved. Returns nothing if it was not, or its new place refuses.
     std::optional<OpenAnswer> followMove();
-    std::shared_ptr<PlacementCallTerm> termAt(const PooledUpstream &upstream) const;
+    std::shared_ptr<PlacementCallDeadline> termAt(const PooledUpstream &upstream) const;
     bool cutsEvents() const;
     void noteFirstEvent(OpenAnswer &answer);
     bool passPiece(const std::string &piece, OpenAnswer &answer);
@@ -109,7 +109,7 @@
     bool forward(std::string_view bytes);
 
     std::string_view passedLimit(const CallFailure &failure) const;
-    void noteFailure(UpstreamHold &hold, const CallFailure &failure);
+    void noteFailure(InFlightGuard &hold, const CallFailure &failure);
     bool noteTermOver(const PooledUpstream &upstream, const CallFailure &failure);
     bool isGivenUpHere(const CallFailure &failure) const;
     void noteRan();
--- a/src/entry/entry_call_admission.cpp
+++ b/src/entry/entry_call_admission.cpp
@@ -18,7 +18,7 @@
 /// decide it on.
 void EntryCall::awaitKnowledge()
 {
-    while (m_traffic.isWorthWaiting())
+    while (m_traffic.shouldWaitForStartup())
         sleepFiber(knowledgeCheck);
     m_view = m_traffic.view();
 }
--- a/src/entry/entry_call_stream.cpp
+++ b/src/entry/entry_call_stream.cpp
@@ -100,15 +100,15 @@
 }
 
 /// Returns the term of a run that goes on at an upstream, or nothing where none is left or known.
-std::shared_ptr<PlacementCallTerm> EntryCall::termAt(const PooledUpstream &upstream) const
+std::shared_ptr<PlacementCallDeadline> EntryCall::termAt(const PooledUpstream &upstream) const
 {
     const bool isLeaving = upstream.m_isGone || upstream.m_record.m_isDraining;
     const std::optional<TimePoint> until =
-            isLeaving ? m_traffic.untilWhileLeaving(upstream) : m_traffic.placementUntil();
+            isLeaving ? m_traffic.deadlineWhileLeaving(upstream) : m_traffic.placementDeadline();
     if (!until)
         return nullptr;
-    return std::make_shared<PlacementCallTerm>(
-            m_traffic, *until, isLeaving ? TermRenewal::None : TermRenewal::WithList);
+    return std::make_shared<PlacementCallDeadline>(
+            m_traffic, *until, isLeaving ? DeadlineRenewal::None : DeadlineRenewal::OnConfirmation);
 }
 
 std::optional<OpenAnswer> EntryCall::followMove()
@@ -125,7 +125,7 @@
     // The memory went with the process that held it.
     if (moved.m_upstream->m_isReplaced)
         return std::nullopt;
-    const std::shared_ptr<PlacementCallTerm> term = termAt(*moved.m_upstream);
+    const std::shared_ptr<PlacementCallDeadline> term = termAt(*moved.m_upstream);
     if (!term) {
         m_traffic.log().warning("moved-run-too-late",
                                 {m_caller.m_id,
@@ -135,7 +135,7 @@
     }
     m_memory = moved.m_memory;
     logPlaced(*moved.m_upstream, term->until());
-    UpstreamHold hold(moved.m_upstream, 0);
+    InFlightGuard hold(moved.m_upstream, 0);
     CallResult<HttpExchange> opened = send(hold, term);
     m_memory.reset();
     if (const auto *failure = std::get_if<CallFailure>(&opened)) {
@@ -194,7 +194,7 @@
 /// The first piece of an answer tells that the prompt has been read.
 void EntryCall::noteFirstEvent(OpenAnswer &answer)
 {
-    answer.m_hold.promptIsRead();
+    answer.m_hold.onPromptRead();
     if (const auto since = std::exchange(answer.m_aloneSince, std::nullopt))
         m_traffic.reading().own(m_service).recordUncontended(ownTokens(), m_traffic.now() - *since);
 }
--- a/src/entry/entry_config_feed.cpp
+++ b/src/entry/entry_config_feed.cpp
@@ -71,7 +71,7 @@
                                                 * m_context.m_settings.m_bounds.m_configApply);
 }
 
-bool EntryConfigFeed::takeNews(std::int64_t version, const ToldAge &age, bool isSent)
+bool EntryConfigFeed::receiveUpdate(std::int64_t version, const ReportedAge &age, bool isSent)
 {
     if (version == m_version)
         m_confirmation.take(age);
@@ -139,7 +139,7 @@
         adopt(object.m_specText, "store");
 }
 
-bool EntryConfigFeed::takeFromPeer(const std::string &text, const std::string &peer)
+bool EntryConfigFeed::applyFromPeer(const std::string &text, const std::string &peer)
 {
     return adopt(text, peer);
 }
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -131,7 +131,8 @@
         m_controlLoop.spawn([this] { m_upstreams.follow(); });
         m_trafficLoop.call([this] {
             m_traffic.onLongPromptPlaced([this](const UpstreamId &upstream, InFlightLoad load) {
-                m_controlLoop.spawn([this, upstream, load] { m_peers.tellLoad(upstream, load); });
+                m_controlLoop.spawn(
+                        [this, upstream, load] { m_peers.announceLoad(upstream, load); });
             });
         });
         m_controlLoop.spawn([this] { m_peers.run(); });
@@ -264,7 +265,7 @@
     {
         m_callers->limitTo(limitsOf(view->config().m_limits));
         m_trafficLoop.spawn([this, view] { m_traffic.setView(view); });
-        m_peers.tellAll();
+        m_peers.announceToAll();
     }
 
     void writeLog()
@@ -339,7 +340,7 @@
     /// up instead, and its caller told what is known of it.
     void endLastCalls()
     {
-        m_cut = m_trafficLoop.call([this] { return m_traffic.endCalls(); });
+        m_cut = m_trafficLoop.call([this] { return m_traffic.cancelCalls(); });
         if (awaitNoCallers(m_clock.now() + lastAnswersTime))
             return;
         // Who has not taken an answer by now is cut, and the log says whose answer that was. One
@@ -368,12 +369,12 @@
         // Leaving the registry of a silent store outlasts the grace time, and with it the process.
         m_log->flush();
         // All that this process will ever count: its peers are told so, and wait for no more.
-        m_peers.takeReport();
+        m_peers.collectReport();
         m_context.m_isStopping = true;
         const TimePoint farewellEnd = m_clock.now() + farewellTime;
-        m_peers.sayFarewell();
+        m_peers.sendFinalReport();
         m_registry.leave();
-        m_peers.awaitFarewell(farewellEnd);
+        m_peers.awaitFinalReport(farewellEnd);
         m_isEnded = true;
         kill(getpid(), endSignal);
     }
@@ -393,7 +394,7 @@
     EntryUpstreamFeed m_upstreams;
     EntryPeers m_peers;
     EntryRegistry m_registry;
-    EntryStoreNews m_news;
+    EntryStoreRelay m_news;
     EntryDuties m_duties;
     std::optional<HttpServer> m_callers;
     std::optional<HttpServer> m_ready;
--- a/src/entry/entry_duties.cpp
+++ b/src/entry/entry_duties.cpp
@@ -43,7 +43,7 @@
 {
     if (const auto &cloud = context.m_settings.m_cloud)
         m_cloud.emplace(context.m_client, Endpoint{cloud->m_ip, cloud->m_port});
-    m_peers.onDutyHeard([this](std::int64_t fence, std::int64_t revision) {
+    m_peers.onDutyReported([this](std::int64_t fence, std::int64_t revision) {
         m_lease.onHolderReport(fence, revision, bootNow());
     });
 }
--- a/src/entry/entry_peers.cpp
+++ b/src/entry/entry_peers.cpp
@@ -61,7 +61,7 @@
     , m_writer(context, config, upstreams, m_table)
     , m_texts(context, config, upstreams, m_table, *this)
 {
-    m_config.onReadingFailed([this] { m_texts.pursue(); });
+    m_config.onStoreReadFailed([this] { m_texts.startFetches(); });
     for (const Address &seed : context.m_settings.m_seeds)
         learn({}, textOf(seed), true);
 }
@@ -98,18 +98,18 @@
 void EntryPeers::run()
 {
     while (!m_context.m_isStopping) {
-        takeReport();
+        collectReport();
         expire();
         tellTraffic();
         m_upstreams.expire();
-        for (const KnownPeerPointer &peer : m_table.takeTurns(m_context.now()))
+        for (const KnownPeerPointer &peer : m_table.selectDuePeers(m_context.now()))
             spawnExchange(peer);
-        m_texts.pursue();
+        m_texts.startFetches();
         if (isLargeFleet() && m_config.isStoreLost() && !m_config.isFetching()) {
-            for (const KnownPeerPointer &peer : m_table.someOutOfTurn(askedOutOfTurn))
+            for (const KnownPeerPointer &peer : m_table.selectOutOfTurn(askedOutOfTurn))
                 spawnExchange(peer);
         }
-        sleepFiber(ExchangePace::exchangeEvery);
+        sleepFiber(ExchangePacing::exchangeInterval);
     }
 }
 
@@ -117,10 +117,10 @@
 void EntryPeers::tellTraffic()
 {
     const TimePoint now = m_context.now();
-    const std::size_t members = m_table.members(now);
-    const std::size_t size = m_fleetSize.size(members, now);
+    const std::size_t livePeers = m_table.livePeers(now);
+    const std::size_t size = m_fleetSize.size(livePeers, now);
     const std::size_t expected =
-            m_fleetSize.expected(members, m_context.m_settings.m_seeds.size(), now);
+            m_fleetSize.expected(livePeers, m_context.m_settings.m_seeds.size(), now);
     m_table.setExpected(m_fleetSize.isRegistryRead() ? expected : 0);
     const int stretch = m_table.pace(now).stretch();
     m_context.m_trafficLoop.spawn([this, stretch, expected, size] {
@@ -132,7 +132,7 @@
 void EntryPeers::expire()
 {
     const PeerTable::Silence silence = m_table.expire(m_context.now());
-    for (const auto &[peer, age] : silence.m_fellSilent) {
+    for (const auto &[peer, age] : silence.m_newlySilent) {
         m_context.m_log.warning("peer-silent", {{LogField::Peer, peer->m_node},
                                                 {LogField::AgeMillis, wholeMillis(age)}});
     }
@@ -156,7 +156,7 @@
     return sum;
 }
 
-void EntryPeers::tellAll()
+void EntryPeers::announceToAll()
 {
     if (isLargeFleet())
         return;
@@ -164,7 +164,7 @@
         spawnExchange(peer);
 }
 
-void EntryPeers::takeReport()
+void EntryPeers::collectReport()
 {
     m_writer.setReport(
             m_context.m_trafficLoop.call([this] { return m_context.m_traffic.report(); }));
@@ -172,7 +172,7 @@
 
 /// Guards against counts that end with the process: what it had counted since the last exchange was
 /// billed to nobody, and its peers waited for its word on every window of the next half minute.
-void EntryPeers::sayFarewell()
+void EntryPeers::sendFinalReport()
 {
     for (const KnownPeerPointer &peer : farewellPeers()) {
         ++m_farewellsUnderWay;
@@ -185,7 +185,7 @@
 
 std::vector<KnownPeerPointer> EntryPeers::farewellPeers() const
 {
-    std::vector<KnownPeerPointer> peers = m_table.heardMembers(m_context.now());
+    std::vector<KnownPeerPointer> peers = m_table.respondingPeers(m_context.now());
     const auto isHolder = [this](const KnownPeerPointer &peer) {
         return peer->m_address == m_holderAddress;
     };
@@ -195,7 +195,7 @@
     return peers;
 }
 
-void EntryPeers::awaitFarewell(TimePoint end)
+void EntryPeers::awaitFinalReport(TimePoint end)
 {
     while (m_farewellsUnderWay > 0 && m_context.now() < end)
         sleepFiber(farewellTick);
@@ -203,24 +203,24 @@
         m_context.m_log.warning("farewell-not-taken", {{LogField::Count, m_farewellsUnderWay}});
 }
 
-void EntryPeers::tellLoad(const UpstreamId &upstream, InFlightLoad load)
+void EntryPeers::announceLoad(const UpstreamId &upstream, InFlightLoad load)
 {
     m_writer.setLoad(upstream, load);
     entrywire::EntryExchange message;
     message.__isset.loadNews = true;
     message.loadNews.node = m_context.m_settings.m_node.text();
-    message.loadNews.load = wireLoad(upstream, load);
+    message.loadNews.load = encodeLoad(upstream, load);
     const std::string frame = wire::encode(message);
-    for (const KnownPeerPointer &peer : m_table.heardMembers(m_context.now())) {
+    for (const KnownPeerPointer &peer : m_table.respondingPeers(m_context.now())) {
         m_context.m_loop.spawn(
                 [channel = peer->m_channel, frame] { channel->exchange(frame, exchangeTimeout); });
     }
 }
 
-std::vector<NearPeer> EntryPeers::nearPeers() const
+std::vector<DataCentrePeer> EntryPeers::dataCentrePeers() const
 {
-    std::vector<NearPeer> near;
-    for (const KnownPeerPointer &peer : m_table.heardMembers(m_context.now())) {
+    std::vector<DataCentrePeer> near;
+    for (const KnownPeerPointer &peer : m_table.respondingPeers(m_context.now())) {
         const PeerState &state = peer->m_state;
         if (state.m_dataCentre != m_context.m_settings.m_dataCentre)
             continue;
@@ -279,7 +279,7 @@
 void EntryPeers::hearMark(KnownPeer &peer, const entrywire::EntryExchange &message)
 {
     if (const auto mark = readStamp(message).m_mark)
-        peer.m_mark.hear(*mark, m_context.now());
+        peer.m_mark.recordReceived(*mark, m_context.now());
 }
 
 /// Returns the stamp of a message to a peer, or to a VM that this one doesn't know, for nullptr.
@@ -352,19 +352,19 @@
 
 void EntryPeers::take(const entrywire::EntryExchange &message)
 {
-    hear(message);
+    recordReceived(message);
     // Processes of an earlier version send texts unasked.
     if (message.__isset.configText)
-        m_config.takeFromPeer(message.configText, message.digest.node);
+        m_config.applyFromPeer(message.configText, message.digest.node);
     if (message.__isset.upstreamText)
-        m_upstreams.takeFromPeer(
+        m_upstreams.applyFromPeer(
                 message.upstreamText, message.upstreamRevision,
                 {std::chrono::milliseconds(message.digest.upstreamAgeMillis), sentAfter(message)},
                 message.digest.node);
-    m_texts.pursue();
+    m_texts.startFetches();
 }
 
-void EntryPeers::hear(const entrywire::EntryExchange &message)
+void EntryPeers::recordReceived(const entrywire::EntryExchange &message)
 {
     const entrywire::EntryDigest &digest = message.digest;
     learn(digest.node, digest.address, false);
@@ -377,7 +377,7 @@
         m_context.m_log.info("digest-overtaken", {{LogField::Peer, digest.node}});
         return;
     }
-    if (PeerTable::hear(*peer, stateOf(digest), m_context.now()))
+    if (PeerTable::recordReceived(*peer, stateOf(digest), m_context.now()))
         m_context.m_log.info("peer-heard-again", {{LogField::Peer, digest.node}});
     for (const auto &known : digest.peers)
         learn(known.node, known.address, false);
@@ -389,7 +389,7 @@
     m_context.m_trafficLoop.spawn([this, digest, heardAt = bootNow()] {
         const WallMillis wallAtHearing =
                 m_context.m_traffic.wallNow() - wholeMillis(bootNow() - heardAt);
-        m_context.m_traffic.setPeer(reportOf(digest, wallAtHearing));
+        m_context.m_traffic.setPeer(decodeReport(digest, wallAtHearing));
     });
 }
 
--- a/src/entry/entry_registry.cpp
+++ b/src/entry/entry_registry.cpp
@@ -54,7 +54,7 @@
         removeIfGone(node);
     }
     m_peers.setRegistered(listed.size());
-    m_silence.keepOnly(listed);
+    m_silence.retainListed(listed);
     return hasOwn;
 }
 
@@ -64,7 +64,7 @@
 void EntryRegistry::removeIfGone(const platform::NodeRecord &node)
 {
     const bool isGone =
-            m_silence.noteEntry(node.m_node, m_peers.isMember(node.m_address), m_context.now());
+            m_silence.recordEntry(node.m_node, m_peers.isLivePeer(node.m_address), m_context.now());
     if (!isGone || !m_peers.holdsDuty())
         return;
     m_silence.forget(node.m_node);
--- a/src/entry/entry_store_news.cpp
+++ b/src/entry/entry_store_news.cpp
@@ -80,29 +80,30 @@
 
 } // namespace
 
-EntryStoreNews::EntryStoreNews(EntryContext &context, EntryConfigFeed &config,
-                               EntryUpstreamFeed &upstreams, EntryPeers &peers)
+EntryStoreRelay::EntryStoreRelay(EntryContext &context, EntryConfigFeed &config,
+                                 EntryUpstreamFeed &upstreams, EntryPeers &peers)
     : m_context(context)
     , m_config(config)
     , m_upstreams(upstreams)
     , m_peers(peers)
 {
-    m_peers.onNews([this](const entrywire::StoreNews &news, std::optional<TimePoint> sentAfter) {
-        return take(news, sentAfter);
-    });
+    m_peers.onStoreUpdate(
+            [this](const entrywire::StoreNews &news, std::optional<TimePoint> sentAfter) {
+                return take(news, sentAfter);
+            });
 }
 
-void EntryStoreNews::run()
+void EntryStoreRelay::run()
 {
     while (!m_context.m_isStopping) {
         chooseRole();
         if (m_role == StoreRole::Reader && m_pace.isDue(newsState(), m_context.now()))
             tellAll();
-        sleepFiber(NewsPace::tick);
+        sleepFiber(UpdatePacing::tick);
     }
 }
 
-void EntryStoreNews::chooseRole()
+void EntryStoreRelay::chooseRole()
 {
     StoreRole role = StoreRole::Alone;
     if (m_peers.isLargeFleet()) {
@@ -110,8 +111,8 @@
         std::vector<NodeId> candidates;
         if (!m_config.isStoreLost())
             candidates.push_back(self);
-        for (const NearPeer &peer : m_peers.nearPeers()) {
-            if (peer.m_mayRead)
+        for (const DataCentrePeer &peer : m_peers.dataCentrePeers()) {
+            if (peer.m_canReadStore)
                 candidates.push_back(peer.m_node);
         }
         const bool isChosen = isRendezvousChoice(readersKey, candidates, readers, self);
@@ -126,27 +127,27 @@
     m_context.m_log.info("store-role", {{LogField::Kind, nameIn(storeRoleNames, role)},
                                         {LogField::ConfigVersion, m_config.version()},
                                         {LogField::Revision, m_upstreams.revision()},
-                                        {LogField::Count, m_peers.nearPeers().size()}});
+                                        {LogField::Count, m_peers.dataCentrePeers().size()}});
 }
 
-NewsState EntryStoreNews::newsState() const
+UpdateState EntryStoreRelay::newsState() const
 {
     return {m_upstreams.newestChange(), m_config.version(), m_upstreams.readAt()};
 }
 
-void EntryStoreNews::tellAll()
+void EntryStoreRelay::tellAll()
 {
     if (!m_upstreams.isKnown())
         return;
-    m_pace.noteTold(newsState(), m_context.now());
-    for (const NearPeer &peer : m_peers.nearPeers()) {
+    m_pace.recordSent(newsState(), m_context.now());
+    for (const DataCentrePeer &peer : m_peers.dataCentrePeers()) {
         if (m_followers[peer.m_peer->m_address].isDue(m_context.now()))
             m_context.m_loop.spawn([this, peer] { tell(peer); });
     }
 }
 
 /// Tells one follower what it lacks.
-void EntryStoreNews::tell(const NearPeer &peer)
+void EntryStoreRelay::tell(const DataCentrePeer &peer)
 {
     m_followers[peer.m_peer->m_address].m_isBusy = true;
     if (tellPart(peer, ConfigPart::Version).needsConfig)
@@ -155,7 +156,7 @@
 }
 
 /// Returns what the follower still needs; nothing if it didn't answer.
-entrywire::StoreNewsTaken EntryStoreNews::tellPart(const NearPeer &peer, ConfigPart part)
+entrywire::StoreNewsTaken EntryStoreRelay::tellPart(const DataCentrePeer &peer, ConfigPart part)
 {
     const UpstreamListUpdate upstreams =
             m_upstreams.updateFor(m_followers[peer.m_peer->m_address].m_state);
@@ -168,8 +169,8 @@
     message.news.configIsSent = m_config.text().size() <= largestConfigSent;
     if (part == ConfigPart::Whole)
         message.news.__set_configText(m_config.text());
-    const auto answer = m_peers.ask(peer.m_peer, message, NewsPace::receiptTimeout);
-    ReceiptPause &pause = m_followers[peer.m_peer->m_address].m_pause;
+    const auto answer = m_peers.ask(peer.m_peer, message, UpdatePacing::receiptTimeout);
+    ReceiptBackoff &pause = m_followers[peer.m_peer->m_address].m_pause;
     if (!succeeded(answer)) {
         pause.onMissed(m_context.now());
         return {};
@@ -189,19 +190,19 @@
 }
 
 /// Takes what a reader tells. Returns what this VM lacks beyond that.
-entrywire::StoreNewsTaken EntryStoreNews::take(const entrywire::StoreNews &news,
-                                               std::optional<TimePoint> sentAfter)
+entrywire::StoreNewsTaken EntryStoreRelay::take(const entrywire::StoreNews &news,
+                                                std::optional<TimePoint> sentAfter)
 {
     if (news.__isset.configText)
-        m_config.takeFromPeer(news.configText, news.node);
+        m_config.applyFromPeer(news.configText, news.node);
     const Duration configAge = std::chrono::milliseconds(news.configAgeMillis);
     const Duration upstreamAge = std::chrono::milliseconds(news.upstreamAgeMillis);
     entrywire::StoreNewsTaken taken;
     const bool isWanted =
-            m_config.takeNews(news.configVersion, {configAge, sentAfter}, news.configIsSent);
+            m_config.receiveUpdate(news.configVersion, {configAge, sentAfter}, news.configIsSent);
     taken.needsConfig = isWanted && !m_config.isFetching();
     taken.needsWholeList =
-            !m_upstreams.takeNews(upstreamNews(news), {upstreamAge, sentAfter}, news.node);
+            !m_upstreams.receiveUpdate(upstreamNews(news), {upstreamAge, sentAfter}, news.node);
     return taken;
 }
 
--- a/src/entry/entry_texts.cpp
+++ b/src/entry/entry_texts.cpp
@@ -37,7 +37,7 @@
     , m_upstreamFetch(seedOf(context) + 1)
 {}
 
-void EntryTexts::pursue()
+void EntryTexts::startFetches()
 {
     if (m_context.m_isStopping)
         return;
@@ -47,12 +47,12 @@
 
 void EntryTexts::pursueConfig()
 {
-    const TextNeed need = configNeed();
+    const TextFetchState need = configNeed();
     const bool isLeftToStore = !need.m_isStoreLost && !need.m_storeHeadStart;
-    if (isLeftToStore || m_config.isReadingWhole())
+    if (isLeftToStore || m_config.isReadingFullText())
         return;
     std::vector<TextSource> sources;
-    for (const KnownPeerPointer &peer : m_table.heardMembers(m_context.now()))
+    for (const KnownPeerPointer &peer : m_table.respondingPeers(m_context.now()))
         sources.push_back({peer->m_address, peer->m_state.m_configVersion});
     const auto address = m_configFetch.begin(need, sources, m_context.now());
     if (address)
@@ -61,9 +61,9 @@
 
 /// A VM that has just started leaves the configuration to the store, and so does each VM of a large
 /// fleet, until that fails it.
-TextNeed EntryTexts::configNeed() const
+TextFetchState EntryTexts::configNeed() const
 {
-    TextNeed need;
+    TextFetchState need;
     need.m_ownVersion = m_config.version();
     need.m_isStoreLost = m_config.isStoreLost();
     if (need.m_ownVersion == 0 || m_table.pace(m_context.now()).isSpreadOut())
@@ -78,14 +78,14 @@
 {
     if (!m_upstreams.isStale())
         return;
-    TextNeed need;
+    TextFetchState need;
     need.m_ownVersion = m_upstreams.revision();
     need.m_isStoreLost = m_upstreams.isStoreLost();
     // A list that has gone stale has waited for the store long enough.
     if (m_upstreams.isKnown())
         need.m_storeHeadStart = Duration::zero();
     std::vector<TextSource> sources;
-    for (const KnownPeerPointer &peer : m_table.heardMembers(m_context.now())) {
+    for (const KnownPeerPointer &peer : m_table.respondingPeers(m_context.now())) {
         if (!peer->m_state.m_isUpstreamListStale)
             sources.push_back({peer->m_address, peer->m_state.m_upstreamRevision});
     }
@@ -132,7 +132,7 @@
                                                      {LogField::Millis, toMillis(now - begunAt)}});
         return;
     }
-    fetchOf(kind).onBrought();
+    fetchOf(kind).onFetched();
     const entrywire::EntryExchange &brought = valueOf(answer);
     m_context.m_log.info("text-fetched", {{LogField::Kind, nameIn(textKindNames, kind)},
                                           {LogField::Peer, peer->m_node},
@@ -158,12 +158,12 @@
                           const entrywire::EntryExchange &answer)
 {
     if (kind == TextKind::Config)
-        return answer.__isset.configText && m_config.takeFromPeer(answer.configText, peer->m_node);
-    const ToldAge age{std::chrono::milliseconds(answer.textAnswer.upstreamAgeMillis),
-                      m_peers.sentAfter(answer)};
+        return answer.__isset.configText && m_config.applyFromPeer(answer.configText, peer->m_node);
+    const ReportedAge age{std::chrono::milliseconds(answer.textAnswer.upstreamAgeMillis),
+                          m_peers.sentAfter(answer)};
     return answer.__isset.upstreamText
-           && m_upstreams.takeFromPeer(answer.upstreamText, answer.upstreamRevision, age,
-                                       peer->m_node);
+           && m_upstreams.applyFromPeer(answer.upstreamText, answer.upstreamRevision, age,
+                                        peer->m_node);
 }
 
 TextReply EntryTexts::answer(const entrywire::TextRequest &request)
@@ -210,7 +210,7 @@
     return kind == TextKind::Config ? m_configFetch : m_upstreamFetch;
 }
 
-TextServing &EntryTexts::servingOf(TextKind kind)
+TextSendLimiter &EntryTexts::servingOf(TextKind kind)
 {
     return kind == TextKind::Config ? m_configServing : m_upstreamServing;
 }
--- a/src/entry/entry_traffic.cpp
+++ b/src/entry/entry_traffic.cpp
@@ -60,30 +60,30 @@
     EntryCall(*this, request, responder).run();
 }
 
-EntryTraffic::CallUnderWay EntryTraffic::noteUnderWay(EntryCall &call)
+EntryTraffic::CallRegistration EntryTraffic::registerCall(EntryCall &call)
 {
     if (m_isEndingCalls)
-        call.endForStop();
+        call.cancelForShutdown();
     return {m_calls, call};
 }
 
-std::size_t EntryTraffic::endCalls()
+std::size_t EntryTraffic::cancelCalls()
 {
     m_isEndingCalls = true;
     // No call leaves the set meanwhile: its fiber ends it, when it runs again.
     for (EntryCall *call : m_calls)
-        call->endForStop();
+        call->cancelForShutdown();
     return m_calls.size();
 }
 
 void EntryTraffic::setUpstreams(const std::map<UpstreamId, UpstreamRecord> &upstreams,
                                 std::int64_t revision)
 {
-    m_firstKnowledge.noteUpstreams();
+    m_firstKnowledge.recordUpstreams();
     const bool isConfirmed = m_list.m_confirmedAt != TimePoint{};
     m_pool.update(upstreams, revision,
                   isConfirmed ? std::optional(m_list.m_confirmedAt) : std::nullopt);
-    m_mover->look();
+    m_mover->scheduleMoves();
 }
 
 void EntryTraffic::setListStanding(const ListConfirmation &list, const PlacementDeadline &term)
@@ -93,7 +93,7 @@
     m_term = term;
 }
 
-std::optional<TimePoint> EntryTraffic::untilWhileLeaving(const PooledUpstream &upstream) const
+std::optional<TimePoint> EntryTraffic::deadlineWhileLeaving(const PooledUpstream &upstream) const
 {
     if (!upstream.m_notLeavingAt)
         return std::nullopt;
--- a/src/entry/entry_upstream_feed.cpp
+++ b/src/entry/entry_upstream_feed.cpp
@@ -29,8 +29,8 @@
 void EntryUpstreamFeed::follow()
 {
     while (!m_context.m_isStopping) {
-        const FollowingStep step = m_following.next(m_context.now());
-        if (const auto *rest = std::get_if<RestStep>(&step)) {
+        const SyncStep step = m_following.next(m_context.now());
+        if (const auto *rest = std::get_if<IdleStep>(&step)) {
             sleepFiber(rest->m_time);
             continue;
         }
@@ -38,7 +38,7 @@
             watchOnce(*watch);
         else
             readWhole();
-        sleepFiber(m_following.pauseAfterReading(m_context.now()));
+        sleepFiber(m_following.delayAfterRead(m_context.now()));
     }
 }
 
@@ -48,12 +48,12 @@
     const auto listing = m_context.m_store.list(platform::names::upstreamKind,
                                                 platform::ReadFreshness::Linearizable);
     if (!succeeded(listing)) {
-        noteFailed(errorOf(listing), ReadingFailure::Unanswered);
+        noteFailed(errorOf(listing), ReadFailure::Unanswered);
         return;
     }
     const TimePoint now = m_context.now();
     m_store.answered(now);
-    if (m_following.takeListing(platform::decodeUpstreams(valueOf(listing)), sentAt, now))
+    if (m_following.applyListing(platform::decodeUpstreams(valueOf(listing)), sentAt, now))
         publish("store");
     else
         publishStanding();
@@ -67,20 +67,20 @@
     if (!succeeded(changes)) {
         const bool isHistoryGone = errorOf(changes).m_id == ErrorId::PlatformRefused;
         noteFailed(errorOf(changes),
-                   isHistoryGone ? ReadingFailure::HistoryGone : ReadingFailure::Unanswered);
+                   isHistoryGone ? ReadFailure::HistoryGone : ReadFailure::Unanswered);
         return;
     }
     const TimePoint now = m_context.now();
     m_store.answered(now);
     const std::int64_t revision = valueOf(changes).m_revision;
     const WatchTimes times{sentAt, step.m_wait, now};
-    if (m_following.takeChanges(platform::decodeChanges(valueOf(changes)), revision, times))
+    if (m_following.applyChanges(platform::decodeChanges(valueOf(changes)), revision, times))
         publish("store");
     else
         publishStanding();
 }
 
-void EntryUpstreamFeed::noteFailed(const Error &error, ReadingFailure failure)
+void EntryUpstreamFeed::noteFailed(const Error &error, ReadFailure failure)
 {
     m_following.noteFailed(failure);
     m_store.failed(error);
@@ -98,13 +98,13 @@
     return platform::encodeUpstreams(feed().present());
 }
 
-bool EntryUpstreamFeed::takeFromPeer(const std::string &text, std::int64_t revision, ToldAge age,
-                                     const std::string &peer)
+bool EntryUpstreamFeed::applyFromPeer(const std::string &text, std::int64_t revision,
+                                      ReportedAge age, const std::string &peer)
 {
     UpstreamList list;
     list.m_revision = revision;
     list.m_upstreams = platform::decodeUpstreamText(text);
-    if (!m_following.takeFromPeer(std::move(list), age, m_context.now()))
+    if (!m_following.applyFromPeer(std::move(list), age, m_context.now()))
         return false;
     m_context.m_log.info("upstreams-from-peer",
                          {{LogField::Peer, peer}, {LogField::Revision, revision}});
@@ -117,10 +117,10 @@
     return follower.updateFor(feed(), m_context.now());
 }
 
-bool EntryUpstreamFeed::takeNews(const UpstreamListUpdate &news, ToldAge age,
-                                 std::string_view reader)
+bool EntryUpstreamFeed::receiveUpdate(const UpstreamListUpdate &news, ReportedAge age,
+                                      std::string_view reader)
 {
-    const UpstreamFeed::ApplyResult taking = m_following.takeNews(news, age, m_context.now());
+    const UpstreamFeed::ApplyResult taking = m_following.receiveUpdate(news, age, m_context.now());
     if (taking == UpstreamFeed::ApplyResult::Taken)
         publish(reader);
     else
--- a/src/entry/exchange_writer.cpp
+++ b/src/entry/exchange_writer.cpp
@@ -36,7 +36,7 @@
     if (peer && tellsEndedTo(*peer))
         fillEnded(m_report.m_endedUsage, processName(peer->m_node, peer->m_state.m_incarnation),
                   digest);
-    const bool isNew = !peer || !peer->wasEverHeard();
+    const bool isNew = !peer || !peer->hasEverReported();
     if (isNew || m_messages++ % messagesPerPeerList == 0)
         fillPeers(digest);
     return message;
@@ -67,7 +67,7 @@
 bool ExchangeWriter::tellsEndedTo(const KnownPeer &peer) const
 {
     const TimePoint now = m_context.now();
-    return !m_table.pace(now).isSpreadOut() && now - peer.m_startHeardAt <= tellsEndedFor;
+    return !m_table.pace(now).isSpreadOut() && now - peer.m_processFirstReceivedAt <= tellsEndedFor;
 }
 
 /// Only what was heard is passed on: hearsay would keep the address of a VM that is gone going
@@ -75,7 +75,7 @@
 void ExchangeWriter::fillPeers(entrywire::EntryDigest &digest)
 {
     for (const KnownPeerPointer &known :
-         sliceOf(m_table.heardJustNow(m_context.now()), m_nextPeerTold, peersPerList)) {
+         wrappedSlice(m_table.recentPeers(m_context.now()), m_nextPeerTold, peersPerList)) {
         auto &entry = digest.peers.emplace_back();
         entry.node = known->m_node;
         entry.address = known->m_address;
--- a/src/entry/fleet_size_estimate.cpp
+++ b/src/entry/fleet_size_estimate.cpp
@@ -27,14 +27,15 @@
 }
 
 /// Tells whether VMs of the registry were not heard yet and may still be there.
-bool FleetSizeEstimate::isMissingRegistered(std::size_t members, TimePoint now) const
+bool FleetSizeEstimate::isMissingRegistered(std::size_t livePeers, TimePoint now) const
 {
-    return members + 1 < m_registered && now < m_startedAt + registeredKeptFor;
+    return livePeers + 1 < m_registered && now < m_startedAt + registeredKeptFor;
 }
 
-std::size_t FleetSizeEstimate::expected(std::size_t members, std::size_t seeds, TimePoint now) const
+std::size_t FleetSizeEstimate::expected(std::size_t livePeers, std::size_t seeds,
+                                        TimePoint now) const
 {
-    if (isMissingRegistered(members, now))
+    if (isMissingRegistered(livePeers, now))
         return std::max(m_registered, seeds);
     if (!isLearning(now))
         return 0;
@@ -43,15 +44,15 @@
     const bool isUnread = now < m_startedAt + registryReadTime;
     if (isUnread && !m_isFirstStart)
         return unknownFleet;
-    return std::max(members + 1, seeds);
+    return std::max(livePeers + 1, seeds);
 }
 
-std::size_t FleetSizeEstimate::size(std::size_t members, TimePoint now) const
+std::size_t FleetSizeEstimate::size(std::size_t livePeers, TimePoint now) const
 {
-    const std::size_t known = members + 1;
+    const std::size_t known = livePeers + 1;
     if (isLearning(now))
         return std::max({known, assumedFleet, m_registered});
-    return isMissingRegistered(members, now) ? m_registered : known;
+    return isMissingRegistered(livePeers, now) ? m_registered : known;
 }
 
 } // namespace gypsumdale
--- a/src/entry/peer_table.cpp
+++ b/src/entry/peer_table.cpp
@@ -15,13 +15,13 @@
 /// How long a peer has said nothing, from when it was known on.
 Duration silenceOf(const KnownPeer &peer, TimePoint now)
 {
-    return now - std::max(peer.m_heardAt, peer.m_knownSince);
+    return now - std::max(peer.m_lastReceivedAt, peer.m_knownSince);
 }
 
 } // namespace
 
-std::vector<KnownPeerPointer> sliceOf(const std::vector<KnownPeerPointer> &peers, std::size_t first,
-                                      std::size_t count)
+std::vector<KnownPeerPointer> wrappedSlice(const std::vector<KnownPeerPointer> &peers,
+                                           std::size_t first, std::size_t count)
 {
     std::vector<KnownPeerPointer> slice;
     for (std::size_t taken = 0; taken < std::min(count, peers.size()); ++taken)
@@ -47,11 +47,11 @@
     return isNew ? peer : nullptr;
 }
 
-bool PeerTable::hear(KnownPeer &peer, const PeerState &state, TimePoint now)
+bool PeerTable::recordReceived(KnownPeer &peer, const PeerState &state, TimePoint now)
 {
     if (state.m_incarnation != peer.m_state.m_incarnation)
-        peer.m_startHeardAt = now;
-    peer.m_heardAt = now;
+        peer.m_processFirstReceivedAt = now;
+    peer.m_lastReceivedAt = now;
     peer.m_state = state;
     return std::exchange(peer.m_isSilent, false);
 }
@@ -59,13 +59,13 @@
 PeerTable::Silence PeerTable::expire(TimePoint now)
 {
     Silence result;
-    const Duration heardWithin = pace(now).heardWithin();
+    const Duration respondingWithin = pace(now).respondingWithin();
     for (auto entry = m_peers.begin(); entry != m_peers.end();) {
         const KnownPeerPointer peer = entry->second;
         const Duration silence = silenceOf(*peer, now);
-        if (!peer->m_isSilent && silence > heardWithin) {
+        if (!peer->m_isSilent && silence > respondingWithin) {
             peer->m_isSilent = true;
-            result.m_fellSilent.push_back({peer, silence});
+            result.m_newlySilent.push_back({peer, silence});
         }
         if (silence <= forgottenAfter || peer->m_isBusy) {
             ++entry;
@@ -82,47 +82,47 @@
     return result;
 }
 
-bool PeerTable::isMember(const KnownPeer &peer, TimePoint now)
+bool PeerTable::isLivePeer(const KnownPeer &peer, TimePoint now)
 {
-    return peer.wasEverHeard() && now - peer.m_heardAt < forgottenAfter;
+    return peer.hasEverReported() && now - peer.m_lastReceivedAt < forgottenAfter;
 }
 
-bool PeerTable::isMember(const std::string &address, TimePoint now) const
+bool PeerTable::isLivePeer(const std::string &address, TimePoint now) const
 {
     const KnownPeerPointer peer = find(address);
-    return peer && isMember(*peer, now);
+    return peer && isLivePeer(*peer, now);
 }
 
-std::size_t PeerTable::members(TimePoint now) const
+std::size_t PeerTable::livePeers(TimePoint now) const
 {
     std::size_t count = 0;
     for (const auto &[address, peer] : m_peers)
-        count += isMember(*peer, now) ? 1 : 0;
+        count += isLivePeer(*peer, now) ? 1 : 0;
     return count;
 }
 
-ExchangePace PeerTable::pace(TimePoint now) const
+ExchangePacing PeerTable::pace(TimePoint now) const
 {
     const std::size_t expectedPeers = m_expected > 0 ? m_expected - 1 : 0;
-    return ExchangePace(std::max(members(now), expectedPeers));
+    return ExchangePacing(std::max(livePeers(now), expectedPeers));
 }
 
-std::vector<KnownPeerPointer> PeerTable::heardMembers(TimePoint now) const
+std::vector<KnownPeerPointer> PeerTable::respondingPeers(TimePoint now) const
 {
     std::vector<KnownPeerPointer> heard;
     for (const auto &[address, peer] : m_peers) {
-        if (isMember(*peer, now) && !peer->m_isSilent)
+        if (isLivePeer(*peer, now) && !peer->m_isSilent)
             heard.push_back(peer);
     }
     return heard;
 }
 
-std::vector<KnownPeerPointer> PeerTable::heardJustNow(TimePoint now) const
+std::vector<KnownPeerPointer> PeerTable::recentPeers(TimePoint now) const
 {
     std::vector<KnownPeerPointer> heard;
-    const Duration heardWithin = pace(now).heardWithin();
+    const Duration respondingWithin = pace(now).respondingWithin();
     for (const auto &[address, peer] : m_peers) {
-        if (now - peer->m_heardAt <= heardWithin)
+        if (now - peer->m_lastReceivedAt <= respondingWithin)
             heard.push_back(peer);
     }
     return heard;
@@ -132,8 +132,8 @@
 {
     Duration longest{};
     for (const auto &[address, peer] : m_peers) {
-        if (isMember(*peer, now) && !peer->m_state.m_isLeaving)
-            longest = std::max(longest, now - peer->m_heardAt);
+        if (isLivePeer(*peer, now) && !peer->m_state.m_isLeaving)
+            longest = std::max(longest, now - peer->m_lastReceivedAt);
     }
     return longest;
 }
@@ -145,10 +145,10 @@
     return m_ownAddress < peer.m_address || silenceOf(peer, now) > silence;
 }
 
-std::vector<KnownPeerPointer> PeerTable::toBegin(TimePoint now) const
+std::vector<KnownPeerPointer> PeerTable::duePeers(TimePoint now) const
 {
     std::vector<KnownPeerPointer> due;
-    const Duration silence = pace(now).silenceBeforeBeginning();
+    const Duration silence = pace(now).initiationTimeout();
     for (const auto &[address, peer] : m_peers) {
         if (!peer->m_isBusy && begins(*peer, silence, now))
             due.push_back(peer);
@@ -156,15 +156,15 @@
     return due;
 }
 
-std::vector<KnownPeerPointer> PeerTable::takeTurns(TimePoint now)
+std::vector<KnownPeerPointer> PeerTable::selectDuePeers(TimePoint now)
 {
     const int stretch = pace(now).stretch();
     const auto parts = static_cast<std::size_t>(stretch);
-    std::vector<KnownPeerPointer> due = toBegin(now);
+    std::vector<KnownPeerPointer> due = duePeers(now);
     const std::size_t atOnce = (due.size() + parts - 1) / parts;
     // Exchange times come a little late, never early: half of one tells two turns apart.
     const Duration between =
-            ExchangePace::exchangeEvery * stretch - ExchangePace::exchangeEvery / 2;
+            ExchangePacing::exchangeInterval * stretch - ExchangePacing::exchangeInterval / 2;
     std::erase_if(due, [now, between](const KnownPeerPointer &peer) {
         return now - peer->m_begunAt < between;
     });
@@ -175,7 +175,7 @@
     return due;
 }
 
-std::vector<KnownPeerPointer> PeerTable::someOutOfTurn(std::size_t count)
+std::vector<KnownPeerPointer> PeerTable::selectOutOfTurn(std::size_t count)
 {
     std::vector<KnownPeerPointer> some;
     for (std::size_t asked = 0; asked < count && !m_peers.empty(); ++asked) {
--- a/src/entry/peer_wire.cpp
+++ b/src/entry/peer_wire.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-entrywire::UpstreamLoad wireLoad(const UpstreamId &upstream, const InFlightLoad &load)
+entrywire::UpstreamLoad encodeLoad(const UpstreamId &upstream, const InFlightLoad &load)
 {
     entrywire::UpstreamLoad told;
     told.upstream = upstream.text();
@@ -55,7 +55,7 @@
         entry.demandPer1000Seconds = std::llround(use.m_demandPerSecond * demandUnit);
     }
     for (const auto &[upstream, load] : report.m_loads)
-        digest.loads.push_back(wireLoad(upstream, load));
+        digest.loads.push_back(encodeLoad(upstream, load));
     for (const auto &[service, rate] : report.m_ownReading) {
         // Requests of plain services have no prompt to read. A peer takes what isn't told for 0.
         if (rate.m_demand == 0 && rate.m_speed == 0)
@@ -84,7 +84,7 @@
     }
 }
 
-PeerReport reportOf(const entrywire::EntryDigest &digest, WallMillis ownWall)
+PeerReport decodeReport(const entrywire::EntryDigest &digest, WallMillis ownWall)
 {
     PeerReport report;
     report.m_node = digest.node;
--- a/src/entry/placement_call_term.hpp
+++ b/src/entry/placement_call_term.hpp
@@ -10,20 +10,20 @@
 namespace gypsumdale {
 
 /// Whether a term moves when the list of upstreams is confirmed anew.
-enum class TermRenewal { WithList, None };
+enum class DeadlineRenewal { OnConfirmation, None };
 
 /// Until when a request may reach the upstream that was chosen for it: as long as the list in use
 /// vouches for that upstream.
-class PlacementCallTerm : public CallTerm
+class PlacementCallDeadline : public CallTerm
 {
 public:
-    PlacementCallTerm(const EntryTraffic &traffic, TimePoint until, TermRenewal renewal)
+    PlacementCallDeadline(const EntryTraffic &traffic, TimePoint until, DeadlineRenewal renewal)
         : m_traffic(traffic)
         , m_until(until)
-        , m_isRenewed(renewal == TermRenewal::WithList)
+        , m_isRenewed(renewal == DeadlineRenewal::OnConfirmation)
     {}
 
-    TimePoint until() const { return m_isRenewed ? m_traffic.renewedUntil(m_until) : m_until; }
+    TimePoint until() const { return m_isRenewed ? m_traffic.renewedDeadline(m_until) : m_until; }
 
     /// The upstream begins to leave: nothing more goes out to it, and bytes have the time that they
     /// take on an ordinary way.
--- a/src/entry/run_mover.cpp
+++ b/src/entry/run_mover.cpp
@@ -39,7 +39,7 @@
     m_runs.erase(run);
 }
 
-void RunMover::look()
+void RunMover::scheduleMoves()
 {
     std::set<PooledUpstreamPointer> sources;
     for (const auto &run : m_runs) {
--- a/src/entry/run_mover.hpp
+++ b/src/entry/run_mover.hpp
@@ -32,7 +32,7 @@
 
     /// Takes note of the upstreams' states; schedules moves from those that began to leave. Linear
     /// in the runs.
-    void look();
+    void scheduleMoves();
 
 private:
     void moveRunsOf(const PooledUpstreamPointer &source);
--- a/src/entry/text_fetch.cpp
+++ b/src/entry/text_fetch.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-std::optional<std::string> TextFetch::begin(const TextNeed &need,
+std::optional<std::string> TextFetch::begin(const TextFetchState &need,
                                             const std::vector<TextSource> &sources, TimePoint now)
 {
     std::vector<const TextSource *> ahead;
@@ -38,7 +38,7 @@
 }
 
 /// Tells whether the store is about to bring what peers tell of.
-bool TextFetch::isLeftToStore(const TextNeed &need, TimePoint now)
+bool TextFetch::isLeftToStore(const TextFetchState &need, TimePoint now)
 {
     if (!m_behindSince || m_behindAt != need.m_ownVersion) {
         m_behindSince = now;
@@ -49,7 +49,7 @@
     return !need.m_storeHeadStart || now - *m_behindSince < *need.m_storeHeadStart;
 }
 
-void TextFetch::onBrought()
+void TextFetch::onFetched()
 {
     m_isUnderWay = false;
     m_failures = 0;
@@ -64,7 +64,7 @@
 
 Duration TextFetch::nextPause()
 {
-    const Duration whole = std::min(firstPause * (1 << m_failures), longestPause);
+    const Duration whole = std::min(initialBackoff * (1 << m_failures), maxBackoff);
     m_failures = std::min(m_failures + 1, mostDoublings);
     const auto percent = static_cast<int>(leastPercent + m_random(percentSpan));
     return whole * percent / wholePercent;
--- a/src/entry/upstream_following.cpp
+++ b/src/entry/upstream_following.cpp
@@ -25,34 +25,34 @@
 
 } // namespace
 
-UpstreamFollowing::UpstreamFollowing(const EntryBounds &bounds)
+UpstreamListSync::UpstreamListSync(const EntryBounds &bounds)
     : m_bounds(bounds)
     , m_feed(bounds.m_upstreamHeartbeat)
 {}
 
-FollowingStep UpstreamFollowing::next(TimePoint now) const
+SyncStep UpstreamListSync::next(TimePoint now) const
 {
     if (isTold(now) && !m_isStoreLost)
-        return RestStep{toldTick};
+        return IdleStep{toldTick};
     if (mustList())
         return ListStep{};
     return WatchStep{m_feed.revision(), watchWait(now)};
 }
 
-bool UpstreamFollowing::mustList() const
+bool UpstreamListSync::mustList() const
 {
     const bool isHistoryGone = m_refusedRevision && m_feed.revision() <= *m_refusedRevision;
     return !m_feed.isKnown() || isHistoryGone;
 }
 
-Duration UpstreamFollowing::patience() const
+Duration UpstreamListSync::patience() const
 {
     return m_bounds.m_leavingApply / patiencesPerBound;
 }
 
 /// Returns how old a list may be that a follower doesn't read for itself; nothing for others, who
 /// read always.
-Duration UpstreamFollowing::toldLimit() const
+Duration UpstreamListSync::toldLimit() const
 {
     if (m_role != StoreRole::Follower || !m_feed.isKnown())
         return Duration::zero();
@@ -60,12 +60,12 @@
 }
 
 /// Tells whether a reader has confirmed the list lately enough for this VM not to read it.
-bool UpstreamFollowing::isTold(TimePoint now) const
+bool UpstreamListSync::isTold(TimePoint now) const
 {
     return age(now) < toldLimit();
 }
 
-Duration UpstreamFollowing::pauseAfterReading(TimePoint now) const
+Duration UpstreamListSync::delayAfterRead(TimePoint now) const
 {
     if (m_isHistoryGone)
         return Duration::zero();
@@ -82,7 +82,7 @@
 
 /// Returns how long a watch may wait: by role, but not beyond the moment at which the list has used
 /// up its patience, as the answer may be lost.
-Duration UpstreamFollowing::watchWait(TimePoint now) const
+Duration UpstreamListSync::watchWait(TimePoint now) const
 {
     if (m_role == StoreRole::Follower)
         return urgentWatchWait;
@@ -91,7 +91,7 @@
     return std::clamp(patience() - age(now), urgentWatchWait, wait);
 }
 
-bool UpstreamFollowing::takeListing(UpstreamList list, TimePoint sentAt, TimePoint now)
+bool UpstreamListSync::applyListing(UpstreamList list, TimePoint sentAt, TimePoint now)
 {
     noteAnswered(sentAt);
     m_confirmation.take(sentAt);
@@ -102,7 +102,7 @@
     return true;
 }
 
-bool UpstreamFollowing::takeChanges(const std::vector<UpstreamChange> &changes,
+bool UpstreamListSync::applyChanges(const std::vector<UpstreamChange> &changes,
                                     std::int64_t revision, const WatchTimes &times)
 {
     noteAnswered(times.m_sentAt);
@@ -113,42 +113,42 @@
     return true;
 }
 
-void UpstreamFollowing::noteAnswered(TimePoint sentAt)
+void UpstreamListSync::noteAnswered(TimePoint sentAt)
 {
     m_readAt = sentAt;
     m_isStoreLost = false;
     m_isHistoryGone = false;
 }
 
-void UpstreamFollowing::noteFailed(ReadingFailure failure)
+void UpstreamListSync::noteFailed(ReadFailure failure)
 {
     m_feed.onStoreUnavailable();
     m_isStoreLost = true;
-    m_isHistoryGone = failure == ReadingFailure::HistoryGone;
+    m_isHistoryGone = failure == ReadFailure::HistoryGone;
     if (m_isHistoryGone)
         m_refusedRevision = m_feed.revision();
 }
 
-bool UpstreamFollowing::takeFromPeer(UpstreamList list, const ToldAge &age, TimePoint now)
+bool UpstreamListSync::applyFromPeer(UpstreamList list, const ReportedAge &age, TimePoint now)
 {
     if (!isStale(now) || list.m_revision <= m_feed.revision())
         return false;
-    m_feed.replaceAll(std::move(list), now - age.m_atSending);
+    m_feed.replaceAll(std::move(list), now - age.m_ageWhenSent);
     m_confirmation.take(age);
     return true;
 }
 
-UpstreamFeed::ApplyResult UpstreamFollowing::takeNews(const UpstreamListUpdate &news,
-                                                      const ToldAge &age, TimePoint now)
+UpstreamFeed::ApplyResult UpstreamListSync::receiveUpdate(const UpstreamListUpdate &news,
+                                                          const ReportedAge &age, TimePoint now)
 {
-    const UpstreamFeed::ApplyResult taking = m_feed.take(news, now - age.m_atSending, now);
+    const UpstreamFeed::ApplyResult taking = m_feed.take(news, now - age.m_ageWhenSent, now);
     // An own list that is later holds all that the reader's was confirmed to hold.
     if (taking != UpstreamFeed::ApplyResult::ChangesMissing)
         m_confirmation.take(age);
     return taking;
 }
 
-Duration UpstreamFollowing::age(TimePoint now) const
+Duration UpstreamListSync::age(TimePoint now) const
 {
     return m_feed.isKnown() ? now - m_confirmation.at() : Duration::max();
 }
--- a/src/entry/upstream_hold.cpp
+++ b/src/entry/upstream_hold.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-UpstreamHold::UpstreamHold(PooledUpstreamPointer upstream, std::int64_t pendingTokens)
+InFlightGuard::InFlightGuard(PooledUpstreamPointer upstream, std::int64_t pendingTokens)
     : m_upstream(std::move(upstream))
     , m_pendingTokens(pendingTokens)
 {
@@ -27,7 +27,7 @@
     m_upstream->m_own.m_pendingTokens += m_pendingTokens;
 }
 
-UpstreamHold::UpstreamHold(UpstreamHold &&other) noexcept
+InFlightGuard::InFlightGuard(InFlightGuard &&other) noexcept
     : m_upstream(std::exchange(other.m_upstream, nullptr))
     , m_pendingTokens(std::exchange(other.m_pendingTokens, 0))
 {
@@ -37,27 +37,27 @@
     handOn(m_upstream->m_onLeaving, &other, this);
 }
 
-UpstreamHold::~UpstreamHold()
+InFlightGuard::~InFlightGuard()
 {
     if (!m_upstream)
         return;
-    promptIsRead();
+    onPromptRead();
     m_upstream->m_onReplaced.erase(this);
     m_upstream->m_onLeaving.erase(this);
     --m_upstream->m_own.m_running;
 }
 
-void UpstreamHold::onReplaced(std::function<void(std::int64_t startedAt)> listener)
+void InFlightGuard::onReplaced(std::function<void(std::int64_t startedAt)> listener)
 {
     m_upstream->m_onReplaced[this] = std::move(listener);
 }
 
-void UpstreamHold::onLeaving(std::function<void()> listener)
+void InFlightGuard::onLeaving(std::function<void()> listener)
 {
     m_upstream->m_onLeaving[this] = std::move(listener);
 }
 
-void UpstreamHold::promptIsRead()
+void InFlightGuard::onPromptRead()
 {
     m_upstream->m_own.m_pendingTokens -= std::exchange(m_pendingTokens, 0);
 }
--- a/src/entry/upstream_hold.hpp
+++ b/src/entry/upstream_hold.hpp
@@ -8,20 +8,20 @@
 namespace gypsumdale {
 
 /// Counts a request as in flight at an upstream for as long as it lives.
-class UpstreamHold
+class InFlightGuard
 {
 public:
-    UpstreamHold(PooledUpstreamPointer upstream, std::int64_t pendingTokens);
-    ~UpstreamHold();
-    UpstreamHold(UpstreamHold &&other) noexcept;
-    UpstreamHold &operator=(UpstreamHold &&) = delete;
-    UpstreamHold(const UpstreamHold &) = delete;
-    UpstreamHold &operator=(const UpstreamHold &) = delete;
+    InFlightGuard(PooledUpstreamPointer upstream, std::int64_t pendingTokens);
+    ~InFlightGuard();
+    InFlightGuard(InFlightGuard &&other) noexcept;
+    InFlightGuard &operator=(InFlightGuard &&) = delete;
+    InFlightGuard(const InFlightGuard &) = delete;
+    InFlightGuard &operator=(const InFlightGuard &) = delete;
 
     PooledUpstream &upstream() { return *m_upstream; }
     const PooledUpstreamPointer &pointer() const { return m_upstream; }
     /// Its prompt has been read: the first event is here.
-    void promptIsRead();
+    void onPromptRead();
     /// Asks to be told when the upstream has started again, with the time of that.
     void onReplaced(std::function<void(std::int64_t startedAt)> listener);
     /// Asks to be told when the upstream begins to leave, or is gone.
--- a/tests/src/fuzz-entry-restart.cpp
+++ b/tests/src/fuzz-entry-restart.cpp
@@ -42,7 +42,7 @@
     bool hasText() const { return m_hasText; }
 
     TextFetch m_fetch;
-    TextServing m_serving;
+    TextSendLimiter m_serving;
     double m_bandwidth = slowLink;
     bool m_isTurnedAway = false;
     bool m_isStoreLost = false;
@@ -88,7 +88,7 @@
     void play(Duration length)
     {
         for (Duration played{}; played < length; played += step) {
-            if (elapsed() % ExchangePace::exchangeEvery == Duration::zero())
+            if (elapsed() % ExchangePacing::exchangeInterval == Duration::zero())
                 exchange();
             for (std::size_t vm = 0; vm < m_vms.size(); ++vm)
                 decide(vm);
@@ -180,7 +180,7 @@
                     moved[number] > 0 ? Duration::zero() : transfer.m_silentFor + step;
             m_vms[transfer.m_to].m_received += moved[number];
             if (transfer.m_left <= 0)
-                onBrought(transfer);
+                onFetched(transfer);
             else if (transfer.m_silentFor >= silence)
                 onSilent(transfer);
         }
@@ -189,14 +189,14 @@
         });
     }
 
-    void onBrought(const Transfer &transfer)
+    void onFetched(const Transfer &transfer)
     {
         Vm &vm = m_vms[transfer.m_to];
         vm.m_hasText = true;
         vm.m_hasTextAt = elapsed();
         if (!transfer.m_from)
             return;
-        vm.m_fetch.onBrought();
+        vm.m_fetch.onFetched();
         m_vms[*transfer.m_from].m_serving.end();
     }
 
@@ -207,7 +207,7 @@
     }
 
     pcg32 m_random;
-    ExchangePace m_pace;
+    ExchangePacing m_pace;
     Clock m_clock;
     TimePoint m_start{};
     std::vector<Vm> m_vms;
@@ -260,11 +260,11 @@
             fleet.vms()[vm].m_isTurnedAway = true;
         // Those whom the store serves have it; a digest tells so; the peer serves as many as it
         // may; and who was told to ask another a few times has paused.
-        const Duration heard = ExchangePace::exchangeEvery * 6;
-        const Duration turned = 3 * TextFetch::longestPause;
+        const Duration heard = ExchangePacing::exchangeInterval * 6;
+        const Duration turned = 3 * TextFetch::maxBackoff;
         checkAll(fleet,
-                 lastStart + transferTime(1) + heard + transferTime(TextServing::mostAtOnce)
-                         + turned,
+                 lastStart + transferTime(1) + heard
+                         + transferTime(TextSendLimiter::maxConcurrentSends) + turned,
                  textBytes * 1.05);
     });
     rc::prop("also while some peers send nothing of what they begin", [] {
@@ -273,11 +273,11 @@
         for (std::size_t vm = 0; vm < turnedAway; ++vm)
             fleet.vms()[vm].m_isTurnedAway = true;
         fleet.vms().back().m_isMute = true;
-        const Duration heard = ExchangePace::exchangeEvery * 6;
-        const Duration turned = 3 * TextFetch::longestPause + 2 * silence;
+        const Duration heard = ExchangePacing::exchangeInterval * 6;
+        const Duration turned = 3 * TextFetch::maxBackoff + 2 * silence;
         checkAll(fleet,
-                 lastStart + transferTime(1) + heard + transferTime(TextServing::mostAtOnce)
-                         + turned,
+                 lastStart + transferTime(1) + heard
+                         + transferTime(TextSendLimiter::maxConcurrentSends) + turned,
                  textBytes * 1.05);
     });
 }
--- a/tests/src/unit-config-news.cpp
+++ b/tests/src/unit-config-news.cpp
@@ -13,7 +13,7 @@
 
 TEST_CASE("a version that a reader tells of")
 {
-    ConfigNews news;
+    ConfigSourceSelector news;
 
     SECTION("is asked of it, once")
     {
@@ -30,7 +30,7 @@
     SECTION("is read from the store where the reader doesn't bring it in time")
     {
         news.take(2, 1, true, start);
-        CHECK(news.mustRead(1, start + ConfigNews::readerPatience));
+        CHECK(news.mustRead(1, start + ConfigSourceSelector::readerTimeout));
     }
     SECTION("is read from the store at once where the reader doesn't send it")
     {
@@ -40,13 +40,13 @@
     SECTION("is asked of the other reader where the first fails")
     {
         news.take(2, 1, true, start);
-        CHECK(news.take(2, 1, true, start + ConfigNews::askEvery));
+        CHECK(news.take(2, 1, true, start + ConfigSourceSelector::minRequestInterval));
     }
 }
 
 TEST_CASE("a VM that knows no configuration waits to be told while there is none")
 {
-    ConfigNews news;
+    ConfigSourceSelector news;
     CHECK_FALSE(news.take(0, 0, true, start));
     CHECK_FALSE(news.mustRead(0, start + 10s));
     CHECK(news.take(1, 0, true, start + 10s));
@@ -55,7 +55,7 @@
 // Every VM read every version of a quick succession from the store.
 TEST_CASE("of versions in quick succession each VM gets the newest from its reader")
 {
-    ConfigNews news;
+    ConfigSourceSelector news;
     std::int64_t own = 1;
     int asked = 0;
     int reads = 0;
@@ -71,6 +71,6 @@
     }
     CHECK(asked <= 8);
     CHECK(reads == 0);
-    const TimePoint end = start + 80ms * versions + ConfigNews::askEvery;
+    const TimePoint end = start + 80ms * versions + ConfigSourceSelector::minRequestInterval;
     CHECK((own == versions || news.take(versions, own, true, end)));
 }
--- a/tests/src/unit-entry-message-age.cpp
+++ b/tests/src/unit-entry-message-age.cpp
@@ -11,9 +11,9 @@
     const TimePoint asked{1h};
     // The other VM's clock is another one.
     const TimePoint heardThere{20h};
-    HeardMark heard;
+    LastPeerTimestamp heard;
     REQUIRE_FALSE(heard.echo(heardThere));
-    heard.hear({process, asked}, heardThere);
+    heard.recordReceived({process, asked}, heardThere);
     const auto echo = heard.echo(heardThere + 400ms);
 
     SECTION("whenever it is read")
@@ -38,7 +38,7 @@
 // way looks like the first of a restarted process.
 TEST_CASE("a message that a later one has overtaken")
 {
-    NewestMark newest;
+    SupersededFilter newest;
     const TimePoint sent{10s};
     REQUIRE(newest.take({1, sent}));
 
--- a/tests/src/unit-entry-metrics-page.cpp
+++ b/tests/src/unit-entry-metrics-page.cpp
@@ -79,7 +79,7 @@
     useAll(metrics);
     const std::string page = metrics.expose();
     CAPTURE(page.size());
-    CHECK(page.size() < largestEntryPage);
+    CHECK(page.size() < maxEntryMetricsPageBytes);
 
     SECTION("still tells for each route how many were within the promise")
     {
--- a/tests/src/unit-entry-news-pace.cpp
+++ b/tests/src/unit-entry-news-pace.cpp
@@ -8,10 +8,10 @@
 TEST_CASE("a reader tells its followers")
 {
     const TimePoint start{1h};
-    const NewsState told{3, 7, start};
-    NewsPace pace;
+    const UpdateState told{3, 7, start};
+    UpdatePacing pace;
     CHECK(pace.isDue(told, start));
-    pace.noteTold(told, start);
+    pace.recordSent(told, start);
 
     SECTION("nothing again for half a second")
     {
@@ -31,7 +31,7 @@
 TEST_CASE("a follower without receipts is told the whole list after pauses that grow")
 {
     const TimePoint start{1h};
-    ReceiptPause pause;
+    ReceiptBackoff pause;
     CHECK(pause.isOver(start));
 
     SECTION("up to a bound")
--- a/tests/src/unit-entry-peers.cpp
+++ b/tests/src/unit-entry-peers.cpp
@@ -42,20 +42,20 @@
     TimePoint now() const { return m_clock.now(); }
     void advance(Duration step) { m_clock.advance(step); }
 
-    void hear(const std::string &address, const PeerState &state = {})
+    void recordReceived(const std::string &address, const PeerState &state = {})
     {
         m_table.learn(address, address, false, now());
-        PeerTable::hear(*m_table.find(address), state, now());
+        PeerTable::recordReceived(*m_table.find(address), state, now());
     }
     /// Hears so many peers besides.
     void hearMany(int count)
     {
         for (int peer = 0; peer < count; ++peer)
-            hear(fmt::format("10.0.1.{}:7000", peer));
+            recordReceived(fmt::format("10.0.1.{}:7000", peer));
     }
     bool begins(const std::string &address) const
     {
-        for (const KnownPeerPointer &peer : m_table.toBegin(now())) {
+        for (const KnownPeerPointer &peer : m_table.duePeers(now())) {
             if (peer->m_address == address)
                 return true;
         }
@@ -74,20 +74,20 @@
 {
     SECTION("is full up to 12 peers, and a step slower for each 12 more")
     {
-        CHECK(ExchangePace(0).stretch() == 1);
-        CHECK(ExchangePace(12).stretch() == 1);
-        CHECK(ExchangePace(13).stretch() == 2);
-        CHECK(ExchangePace(24).stretch() == 2);
-        CHECK(ExchangePace(64).stretch() == 6);
-        CHECK_FALSE(ExchangePace(12).isSpreadOut());
-        CHECK(ExchangePace(13).isSpreadOut());
+        CHECK(ExchangePacing(0).stretch() == 1);
+        CHECK(ExchangePacing(12).stretch() == 1);
+        CHECK(ExchangePacing(13).stretch() == 2);
+        CHECK(ExchangePacing(24).stretch() == 2);
+        CHECK(ExchangePacing(64).stretch() == 6);
+        CHECK_FALSE(ExchangePacing(12).isSpreadOut());
+        CHECK(ExchangePacing(13).isSpreadOut());
     }
     SECTION("sets what silence means")
     {
-        CHECK(ExchangePace(12).silenceBeforeBeginning() == 800ms);
-        CHECK(ExchangePace(12).heardWithin() == 1200ms);
-        CHECK(ExchangePace(64).silenceBeforeBeginning() == 4800ms);
-        CHECK(ExchangePace(64).heardWithin() == 7200ms);
+        CHECK(ExchangePacing(12).initiationTimeout() == 800ms);
+        CHECK(ExchangePacing(12).respondingWithin() == 1200ms);
+        CHECK(ExchangePacing(64).initiationTimeout() == 4800ms);
+        CHECK(ExchangePacing(64).respondingWithin() == 7200ms);
     }
 }
 
@@ -151,23 +151,23 @@
 {
     Clock clock;
     clock.pause();
-    FirstKnowledge knowledge(clock.now());
+    StartupKnowledge knowledge(clock.now());
 
     SECTION("waits until both are known")
     {
         clock.advance(2ms);
-        CHECK(knowledge.isWorthWaiting(clock.now()));
-        knowledge.noteConfiguration();
-        CHECK(knowledge.isWorthWaiting(clock.now()));
-        knowledge.noteUpstreams();
-        CHECK_FALSE(knowledge.isWorthWaiting(clock.now()));
+        CHECK(knowledge.shouldWaitForStartup(clock.now()));
+        knowledge.recordConfiguration();
+        CHECK(knowledge.shouldWaitForStartup(clock.now()));
+        knowledge.recordUpstreams();
+        CHECK_FALSE(knowledge.shouldWaitForStartup(clock.now()));
     }
     SECTION("is answered at once where the store stays silent")
     {
         clock.advance(99ms);
-        CHECK(knowledge.isWorthWaiting(clock.now()));
+        CHECK(knowledge.shouldWaitForStartup(clock.now()));
         clock.advance(1ms);
-        CHECK_FALSE(knowledge.isWorthWaiting(clock.now()));
+        CHECK_FALSE(knowledge.shouldWaitForStartup(clock.now()));
     }
 }
 
@@ -194,24 +194,24 @@
     SECTION("are members from when they were heard until half a minute of silence")
     {
         table.learn("b", lower, true, vm.now());
-        CHECK(table.members(vm.now()) == 0);
-        CHECK_FALSE(table.isMember(lower, vm.now()));
-        vm.hear(lower);
+        CHECK(table.livePeers(vm.now()) == 0);
+        CHECK_FALSE(table.isLivePeer(lower, vm.now()));
+        vm.recordReceived(lower);
         vm.advance(29999ms);
-        CHECK(table.members(vm.now()) == 1);
-        CHECK(table.isMember(lower, vm.now()));
+        CHECK(table.livePeers(vm.now()) == 1);
+        CHECK(table.isLivePeer(lower, vm.now()));
         vm.advance(1ms);
-        CHECK(table.members(vm.now()) == 0);
+        CHECK(table.livePeers(vm.now()) == 0);
     }
     SECTION("start anew when they tell of another process")
     {
-        vm.hear(lower, processState(1));
+        vm.recordReceived(lower, processState(1));
         const TimePoint started = vm.now();
         vm.advance(1s);
-        vm.hear(lower, processState(1));
-        CHECK(table.find(lower)->m_startHeardAt == started);
-        vm.hear(lower, processState(2));
-        CHECK(table.find(lower)->m_startHeardAt == vm.now());
+        vm.recordReceived(lower, processState(1));
+        CHECK(table.find(lower)->m_processFirstReceivedAt == started);
+        vm.recordReceived(lower, processState(2));
+        CHECK(table.find(lower)->m_processFirstReceivedAt == vm.now());
     }
 }
 
@@ -228,7 +228,7 @@
     {
         vm.m_table.setExpected(65);
         CHECK(vm.m_table.pace(vm.now()).stretch() == 6);
-        CHECK(vm.m_table.takeTurns(vm.now()).size() == 11);
+        CHECK(vm.m_table.selectDuePeers(vm.now()).size() == 11);
     }
     SECTION("is that of those heard where nobody else is expected")
     {
@@ -240,8 +240,8 @@
 TEST_CASE("whose turn it is to begin an exchange")
 {
     Table vm;
-    vm.hear(lower);
-    vm.hear(higher);
+    vm.recordReceived(lower);
+    vm.recordReceived(higher);
 
     SECTION("that of the lower address")
     {
@@ -281,11 +281,11 @@
     for (int round = 0; round < 3; ++round) {
         std::set<std::string> begun;
         for (int time = 0; time < stretch; ++time) {
-            const auto turns = vm.m_table.takeTurns(vm.now());
+            const auto turns = vm.m_table.selectDuePeers(vm.now());
             CHECK(turns.size() <= mostAtOnce);
             for (const KnownPeerPointer &peer : turns)
                 begun.insert(peer->m_address);
-            vm.advance(ExchangePace::exchangeEvery + 3ms);
+            vm.advance(ExchangePacing::exchangeInterval + 3ms);
         }
         CHECK(begun.size() == peers);
     }
@@ -296,8 +296,8 @@
     Table vm;
     vm.hearMany(12);
     for (int time = 0; time < 5; ++time) {
-        CHECK(vm.m_table.takeTurns(vm.now()).size() == 12);
-        vm.advance(ExchangePace::exchangeEvery);
+        CHECK(vm.m_table.selectDuePeers(vm.now()).size() == 12);
+        vm.advance(ExchangePacing::exchangeInterval);
     }
 }
 
@@ -305,15 +305,15 @@
 {
     Table vm;
     vm.hearMany(5);
-    const auto first = vm.m_table.someOutOfTurn(3);
-    const auto second = vm.m_table.someOutOfTurn(3);
+    const auto first = vm.m_table.selectOutOfTurn(3);
+    const auto second = vm.m_table.selectOutOfTurn(3);
     REQUIRE(first.size() == 3);
     REQUIRE(second.size() == 3);
     CHECK(second[0] != first[0]);
     CHECK(second[1] != first[1]);
     CHECK(second[2] == first[0]);
     first[1]->m_isBusy = true;
-    CHECK(vm.m_table.someOutOfTurn(5).size() == 4);
+    CHECK(vm.m_table.selectOutOfTurn(5).size() == 4);
 }
 
 // Each usage window waits for the counts of every VM. One that was stopped by plan was waited for
@@ -324,9 +324,9 @@
     Table vm;
     PeerTable &table = vm.m_table;
     CHECK(table.longestSilence(vm.now()) == 0ms);
-    vm.hear(lower);
+    vm.recordReceived(lower);
     vm.advance(300ms);
-    vm.hear(higher);
+    vm.recordReceived(higher);
     vm.advance(100ms);
     CHECK(table.longestSilence(vm.now()) == 400ms);
 
@@ -334,22 +334,22 @@
     {
         vm.advance(4s);
         vm.hearMany(80);
-        CHECK_FALSE(table.heardJustNow(vm.now()).empty());
+        CHECK_FALSE(table.recentPeers(vm.now()).empty());
         CHECK(table.longestSilence(vm.now()) == 4400ms);
     }
     SECTION("is not that of a VM which said that it leaves")
     {
         PeerState leaving;
         leaving.m_isLeaving = true;
-        vm.hear(lower, leaving);
+        vm.recordReceived(lower, leaving);
         vm.advance(5s);
-        vm.hear(higher);
+        vm.recordReceived(higher);
         CHECK(table.longestSilence(vm.now()) == 0ms);
     }
     SECTION("is not that of a VM which was replaced")
     {
         vm.advance(31s);
-        vm.hear(higher);
+        vm.recordReceived(higher);
         CHECK(table.longestSilence(vm.now()) == 0ms);
     }
 }
@@ -358,36 +358,36 @@
 {
     Table vm;
     PeerTable &table = vm.m_table;
-    vm.hear(lower);
-    vm.hear(higher);
+    vm.recordReceived(lower);
+    vm.recordReceived(higher);
 
     SECTION("are reported as silent once, and heard again")
     {
         vm.advance(1200ms);
-        CHECK(table.expire(vm.now()).m_fellSilent.empty());
+        CHECK(table.expire(vm.now()).m_newlySilent.empty());
         CHECK(table.longestSilence(vm.now()) == 1200ms);
         vm.advance(1ms);
         CHECK(table.longestSilence(vm.now()) == 1201ms);
-        const auto silent = table.expire(vm.now()).m_fellSilent;
+        const auto silent = table.expire(vm.now()).m_newlySilent;
         REQUIRE(silent.size() == 2);
         CHECK(silent[0].m_peer->m_address == lower);
         CHECK(silent[0].m_silence == 1201ms);
-        CHECK(table.expire(vm.now()).m_fellSilent.empty());
-        CHECK(table.heardMembers(vm.now()).empty());
-        CHECK(table.heardJustNow(vm.now()).empty());
+        CHECK(table.expire(vm.now()).m_newlySilent.empty());
+        CHECK(table.respondingPeers(vm.now()).empty());
+        CHECK(table.recentPeers(vm.now()).empty());
 
-        CHECK(PeerTable::hear(*table.find(lower), {}, vm.now()));
-        CHECK_FALSE(PeerTable::hear(*table.find(lower), {}, vm.now()));
-        CHECK(table.heardMembers(vm.now()).size() == 1);
-        CHECK(table.heardJustNow(vm.now()).size() == 1);
+        CHECK(PeerTable::recordReceived(*table.find(lower), {}, vm.now()));
+        CHECK_FALSE(PeerTable::recordReceived(*table.find(lower), {}, vm.now()));
+        CHECK(table.respondingPeers(vm.now()).size() == 1);
+        CHECK(table.recentPeers(vm.now()).size() == 1);
     }
     SECTION("are not silent as soon in a large fleet")
     {
         vm.hearMany(11);
         vm.advance(2400ms);
-        CHECK(table.expire(vm.now()).m_fellSilent.empty());
+        CHECK(table.expire(vm.now()).m_newlySilent.empty());
         vm.advance(1ms);
-        CHECK(table.expire(vm.now()).m_fellSilent.size() == 13);
+        CHECK(table.expire(vm.now()).m_newlySilent.size() == 13);
     }
     SECTION("are gone after half a minute, but seeds are still called")
     {
@@ -417,36 +417,36 @@
 {
     Clock clock;
     clock.pause();
-    RegistrySilence silence;
+    RegistryExpiry silence;
     const NodeId node("b");
-    CHECK_FALSE(silence.noteEntry(node, false, clock.now()));
+    CHECK_FALSE(silence.recordEntry(node, false, clock.now()));
     clock.advance(119s);
-    CHECK_FALSE(silence.noteEntry(node, false, clock.now()));
+    CHECK_FALSE(silence.recordEntry(node, false, clock.now()));
 
     SECTION("was silent for two minutes")
     {
         clock.advance(1s);
-        CHECK(silence.noteEntry(node, false, clock.now()));
+        CHECK(silence.recordEntry(node, false, clock.now()));
         silence.forget(node);
-        CHECK_FALSE(silence.noteEntry(node, false, clock.now()));
+        CHECK_FALSE(silence.recordEntry(node, false, clock.now()));
     }
     SECTION("is not one that was heard meanwhile")
     {
-        CHECK_FALSE(silence.noteEntry(node, true, clock.now()));
+        CHECK_FALSE(silence.recordEntry(node, true, clock.now()));
         clock.advance(119s);
-        CHECK_FALSE(silence.noteEntry(node, false, clock.now()));
+        CHECK_FALSE(silence.recordEntry(node, false, clock.now()));
     }
     SECTION("is not one that left the registry and came back")
     {
-        silence.keepOnly({NodeId("c")});
+        silence.retainListed({NodeId("c")});
         clock.advance(1s);
-        CHECK_FALSE(silence.noteEntry(node, false, clock.now()));
+        CHECK_FALSE(silence.recordEntry(node, false, clock.now()));
     }
     SECTION("is told apart from those that the registry still lists")
     {
-        silence.keepOnly({node});
+        silence.retainListed({node});
         clock.advance(1s);
-        CHECK(silence.noteEntry(node, false, clock.now()));
+        CHECK(silence.recordEntry(node, false, clock.now()));
     }
 }
 
@@ -469,7 +469,7 @@
 
     SECTION("with the use of quotas, loads and reading rates")
     {
-        const PeerReport read = reportOf(digest, 1000);
+        const PeerReport read = decodeReport(digest, 1000);
         CHECK(read.m_node == "b");
         CHECK(read.m_incarnation == 9);
         CHECK(read.m_wallOffset == 500);
@@ -488,14 +488,14 @@
                                {ServiceId("seen"), {0, 62000}}};
         entrywire::EntryDigest other;
         fillReport(report, other);
-        const PeerReport read = reportOf(other, 1000);
+        const PeerReport read = decodeReport(other, 1000);
         CHECK(read.m_reading.size() == 2);
         CHECK(read.m_reading.at(ServiceId("asked")).m_demand == 800);
         CHECK(read.m_reading.at(ServiceId("seen")).m_speed == 62000);
     }
     SECTION("with the usage of the last four windows")
     {
-        const PeerReport read = reportOf(digest, 1000);
+        const PeerReport read = decodeReport(digest, 1000);
         REQUIRE(read.m_usage.size() == 4);
         CHECK(read.m_usage.begin()->first == 3);
         CHECK(read.m_usage.at(6).at(huber) == 60);
@@ -505,7 +505,7 @@
         const std::vector<EndedProcessUsage> ended = {{"b/1", 3, {{huber, 4}}},
                                                       {"c/1", 3, {{huber, 5}}}};
         fillEnded(ended, "b/1", digest);
-        const PeerReport read = reportOf(digest, 1000);
+        const PeerReport read = decodeReport(digest, 1000);
         REQUIRE(read.m_endedUsage.size() == 1);
         CHECK(read.m_endedUsage[0].m_process == "c/1");
         CHECK(read.m_endedUsage[0].m_window == 3);
@@ -541,7 +541,7 @@
     }
     const auto names = [&](std::size_t first, std::size_t count) {
         std::string result;
-        for (const KnownPeerPointer &peer : sliceOf(peers, first, count))
+        for (const KnownPeerPointer &peer : wrappedSlice(peers, first, count))
             result += peer->m_node;
         return result;
     };
@@ -549,7 +549,7 @@
     CHECK(names(8, 4) == "8901");
     CHECK(names(12, 4) == "2345");
     CHECK(names(3, 100) == "3456789012");
-    CHECK(sliceOf({}, 3, 4).empty());
+    CHECK(wrappedSlice({}, 3, 4).empty());
 }
 
 TEST_CASE("a peer whose upstream list is stale tells no age")
--- a/tests/src/unit-entry-text-fetch.cpp
+++ b/tests/src/unit-entry-text-fetch.cpp
@@ -33,7 +33,7 @@
 
     Clock m_clock;
     TextFetch m_fetch{seed};
-    TextNeed m_need;
+    TextFetchState m_need;
     std::vector<TextSource> m_sources{{"a", 5}, {"b", 5}, {"c", 4}};
 };
 
@@ -81,7 +81,7 @@
     CHECK(fetch.m_fetch.isUnderWay());
     fetch.m_clock.advance(10s);
     CHECK_FALSE(fetch.begin());
-    fetch.m_fetch.onBrought();
+    fetch.m_fetch.onFetched();
     CHECK_FALSE(fetch.m_fetch.isUnderWay());
 }
 
@@ -93,7 +93,7 @@
         const auto source = fetch.begin();
         REQUIRE(source);
         CHECK(*source != "c");
-        fetch.m_fetch.onBrought();
+        fetch.m_fetch.onFetched();
     }
 }
 
@@ -125,27 +125,27 @@
     Fetch fetch;
     fetch.m_need.m_isStoreLost = true;
     REQUIRE(fetch.begin());
-    Duration whole = TextFetch::firstPause;
+    Duration whole = TextFetch::initialBackoff;
     for (int failure = 0; failure < 8; ++failure) {
         fetch.m_fetch.onFailed(fetch.now());
         const Duration paused = fetch.untilBegin();
         CHECK(paused >= whole / 2);
         CHECK(paused <= whole * 3 / 2 + 10ms);
-        whole = std::min(whole * 2, TextFetch::longestPause);
+        whole = std::min(whole * 2, TextFetch::maxBackoff);
     }
     SECTION("begin small again after a text that came")
     {
-        fetch.m_fetch.onBrought();
+        fetch.m_fetch.onFetched();
         REQUIRE(fetch.begin());
         fetch.m_fetch.onFailed(fetch.now());
-        CHECK(fetch.untilBegin() <= TextFetch::firstPause * 3 / 2 + 10ms);
+        CHECK(fetch.untilBegin() <= TextFetch::initialBackoff * 3 / 2 + 10ms);
     }
 }
 
 TEST_CASE("a VM sends only a few texts at a time")
 {
-    TextServing serving;
-    for (int begun = 0; begun < TextServing::mostAtOnce; ++begun)
+    TextSendLimiter serving;
+    for (int begun = 0; begun < TextSendLimiter::maxConcurrentSends; ++begun)
         CHECK(serving.tryBegin());
     CHECK_FALSE(serving.tryBegin());
     serving.end();
--- a/tests/src/unit-entry-upstream-following.cpp
+++ b/tests/src/unit-entry-upstream-following.cpp
@@ -47,7 +47,7 @@
     }
 
     EntryBounds m_bounds;
-    UpstreamFollowing m_following;
+    UpstreamListSync m_following;
     TimePoint m_now{1h};
 };
 
@@ -59,8 +59,8 @@
     {
         Vm vm(StoreRole::Alone);
         CHECK(vm.isNext<ListStep>());
-        vm.m_following.takeListing(listAt(10), vm.m_now, vm.m_now);
-        const FollowingStep next = vm.m_following.next(vm.m_now);
+        vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now);
+        const SyncStep next = vm.m_following.next(vm.m_now);
         REQUIRE(std::holds_alternative<WatchStep>(next));
         CHECK(std::get<WatchStep>(next).m_revision == 10);
     }
@@ -68,9 +68,9 @@
     SECTION("a follower reads for itself once it was not told for half of the bound")
     {
         Vm vm(StoreRole::Follower);
-        vm.m_following.takeListing(listAt(10), vm.m_now, vm.m_now);
+        vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now);
         vm.m_now += vm.m_bounds.m_leavingApply / 2 - 1ms;
-        CHECK(vm.isNext<RestStep>());
+        CHECK(vm.isNext<IdleStep>());
         vm.m_now += 1ms;
         CHECK(vm.isNext<WatchStep>());
     }
@@ -78,9 +78,9 @@
     SECTION("an answer that a peer's word has overtaken is not taken")
     {
         Vm vm(StoreRole::Follower);
-        vm.m_following.takeListing(listAt(10), vm.m_now, vm.m_now);
-        vm.m_following.takeNews(newsAt(12), ToldAge(), vm.m_now);
-        CHECK_FALSE(vm.m_following.takeChanges({}, 11, {vm.m_now, 1s, vm.m_now}));
+        vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now);
+        vm.m_following.receiveUpdate(newsAt(12), ReportedAge(), vm.m_now);
+        CHECK_FALSE(vm.m_following.applyChanges({}, 11, {vm.m_now, 1s, vm.m_now}));
         CHECK(vm.m_following.feed().revision() == 12);
     }
 }
@@ -90,26 +90,26 @@
 TEST_CASE("the list is read anew where the store has dropped the history, whatever peers tell")
 {
     Vm vm(GENERATE(StoreRole::Reader, StoreRole::Follower, StoreRole::Alone));
-    vm.m_following.takeListing(listAt(10), vm.m_now, vm.m_now);
+    vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now);
     vm.m_now += 2s;
-    vm.m_following.noteFailed(ReadingFailure::HistoryGone);
+    vm.m_following.noteFailed(ReadFailure::HistoryGone);
     REQUIRE(vm.isNext<ListStep>());
 
     SECTION("a reader tells of the revision that was refused")
     {
-        vm.m_following.takeNews(newsAt(10), ToldAge(), vm.m_now);
+        vm.m_following.receiveUpdate(newsAt(10), ReportedAge(), vm.m_now);
         CHECK(vm.isNext<ListStep>());
     }
 
     SECTION("the listing ends it")
     {
-        vm.m_following.takeListing(listAt(10), vm.m_now, vm.m_now);
+        vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now);
         CHECK_FALSE(vm.isNext<ListStep>());
     }
 
     SECTION("so does a later list")
     {
-        vm.m_following.takeNews(newsAt(11), ToldAge(), vm.m_now);
+        vm.m_following.receiveUpdate(newsAt(11), ReportedAge(), vm.m_now);
         CHECK_FALSE(vm.isNext<ListStep>());
     }
 }
@@ -119,27 +119,27 @@
 {
     const StoreRole role = GENERATE(StoreRole::Reader, StoreRole::Follower, StoreRole::Alone);
     Vm vm(role);
-    vm.m_following.takeListing(listAt(10), vm.m_now, vm.m_now);
+    vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now);
     vm.m_now += vm.m_bounds.m_leavingApply / 2;
-    const FollowingStep next = vm.m_following.next(vm.m_now);
+    const SyncStep next = vm.m_following.next(vm.m_now);
     REQUIRE(std::holds_alternative<WatchStep>(next));
     CHECK(std::get<WatchStep>(next).m_wait == 50ms);
 
     SECTION("and before that no watch waits beyond it")
     {
         Vm reader(StoreRole::Reader);
-        reader.m_following.takeListing(listAt(10), reader.m_now, reader.m_now);
+        reader.m_following.applyListing(listAt(10), reader.m_now, reader.m_now);
         reader.m_now += reader.m_bounds.m_leavingApply / 2 - 200ms;
-        const FollowingStep last = reader.m_following.next(reader.m_now);
+        const SyncStep last = reader.m_following.next(reader.m_now);
         CHECK(std::get<WatchStep>(last).m_wait == 200ms);
     }
 
     SECTION("and read whole without a pause where the store refuses its changes")
     {
-        vm.m_following.noteFailed(ReadingFailure::HistoryGone);
-        CHECK(vm.m_following.pauseAfterReading(vm.m_now) == 0ms);
-        vm.m_following.noteFailed(ReadingFailure::Unanswered);
-        CHECK(vm.m_following.pauseAfterReading(vm.m_now) > 0ms);
+        vm.m_following.noteFailed(ReadFailure::HistoryGone);
+        CHECK(vm.m_following.delayAfterRead(vm.m_now) == 0ms);
+        vm.m_following.noteFailed(ReadFailure::Unanswered);
+        CHECK(vm.m_following.delayAfterRead(vm.m_now) > 0ms);
     }
 }
 
@@ -147,41 +147,41 @@
 TEST_CASE("a list is as old as what surely confirmed it")
 {
     Vm vm(StoreRole::Follower);
-    vm.m_following.takeListing(listAt(10), vm.m_now, vm.m_now + 700ms);
+    vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now + 700ms);
     CHECK(vm.m_following.confirmedAt() == vm.m_now);
     const TimePoint sentAt = vm.m_now + 1s;
 
     SECTION("a watch that waited in vain confirms what was true until its end")
     {
-        vm.m_following.takeChanges({}, 10, {sentAt, 50ms, sentAt + 400ms});
+        vm.m_following.applyChanges({}, 10, {sentAt, 50ms, sentAt + 400ms});
         CHECK(vm.m_following.confirmedAt() == sentAt + 50ms);
     }
 
     SECTION("a watch that brought changes may have been answered when it was sent")
     {
         const UpstreamChange change{recordOf("b"), UpstreamChangeKind::Present};
-        vm.m_following.takeChanges({change}, 11, {sentAt, 500ms, sentAt + 900ms});
+        vm.m_following.applyChanges({change}, 11, {sentAt, 500ms, sentAt + 900ms});
         CHECK(vm.m_following.confirmedAt() == sentAt);
     }
 
     SECTION("an answer that is overtaken confirms the later list")
     {
-        vm.m_following.takeNews(newsAt(12), ToldAge(), sentAt);
+        vm.m_following.receiveUpdate(newsAt(12), ReportedAge(), sentAt);
         CHECK(vm.m_following.confirmedAt() == vm.m_now);
-        vm.m_following.takeChanges({}, 11, {sentAt, 50ms, sentAt + 50ms});
+        vm.m_following.applyChanges({}, 11, {sentAt, 50ms, sentAt + 50ms});
         CHECK(vm.m_following.confirmedAt() == sentAt + 50ms);
     }
 
     SECTION("news are as old as they were when they were sent, and older by their way")
     {
-        vm.m_following.takeNews(newsAt(12), {300ms, sentAt}, sentAt + 2s);
+        vm.m_following.receiveUpdate(newsAt(12), {300ms, sentAt}, sentAt + 2s);
         CHECK(vm.m_following.confirmedAt() == sentAt - 300ms);
         CHECK(vm.m_following.age(sentAt + 2s) == 2300ms);
     }
 
     SECTION("news of unknown age bring a later list and confirm nothing")
     {
-        vm.m_following.takeNews(newsAt(12), {0ms, std::nullopt}, sentAt);
+        vm.m_following.receiveUpdate(newsAt(12), {0ms, std::nullopt}, sentAt);
         CHECK(vm.m_following.feed().revision() == 12);
         CHECK(vm.m_following.confirmedAt() == vm.m_now);
     }
@@ -189,7 +189,7 @@
     SECTION("so is a list that a peer passes on")
     {
         const TimePoint later = vm.m_now + 5s;
-        vm.m_following.takeFromPeer(listAt(12), {500ms, later - 1s}, later);
+        vm.m_following.applyFromPeer(listAt(12), {500ms, later - 1s}, later);
         CHECK(vm.m_following.confirmedAt() == later - 1500ms);
     }
 }
@@ -198,21 +198,21 @@
 {
     // A VM cut off from the store must serve; one that has a newer list to come must not by an old.
     Vm vm(StoreRole::Alone);
-    vm.m_following.takeListing(listAt(10), vm.m_now, vm.m_now);
+    vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now);
     CHECK(vm.m_following.standing().m_confirmedAt == vm.m_now);
     CHECK_FALSE(vm.m_following.standing().m_isUnconfirmable);
 
     SECTION("by a store that stays silent, until it answers")
     {
-        vm.m_following.noteFailed(ReadingFailure::Unanswered);
+        vm.m_following.noteFailed(ReadFailure::Unanswered);
         CHECK(vm.m_following.standing().m_isUnconfirmable);
-        vm.m_following.takeChanges({}, 10, {vm.m_now + 1s, 50ms, vm.m_now + 2s});
+        vm.m_following.applyChanges({}, 10, {vm.m_now + 1s, 50ms, vm.m_now + 2s});
         CHECK_FALSE(vm.m_following.standing().m_isUnconfirmable);
     }
 
     SECTION("not by a store that has dropped the history")
     {
-        vm.m_following.noteFailed(ReadingFailure::HistoryGone);
+        vm.m_following.noteFailed(ReadFailure::HistoryGone);
         CHECK_FALSE(vm.m_following.standing().m_isUnconfirmable);
     }
 }
--- a/tests/support/news_vm.hpp
+++ b/tests/support/news_vm.hpp
@@ -42,17 +42,17 @@
 struct NewsVm
 {
     NewsVm(const EntryBounds &bounds, std::size_t dataCentre)
-        : m_following(std::make_unique<UpstreamFollowing>(bounds))
+        : m_following(std::make_unique<UpstreamListSync>(bounds))
         , m_dataCentre(dataCentre)
     {}
 
-    std::unique_ptr<UpstreamFollowing> m_following;
+    std::unique_ptr<UpstreamListSync> m_following;
     std::size_t m_dataCentre;
     CircuitBreaker m_breaker;
-    NewsPace m_pace;
+    UpdatePacing m_pace;
     std::map<NewsVm *, ToldNews> m_told;
     /// Of the others' clocks, as their receipts brought them.
-    std::map<NewsVm *, HeardMark> m_marks;
+    std::map<NewsVm *, LastPeerTimestamp> m_marks;
     StoreRole m_role = StoreRole::Follower;
     /// Counts its processes: what an earlier one began ends with it.
     int m_life = 0;
--- a/tests/support/peer_lists.hpp
+++ b/tests/support/peer_lists.hpp
@@ -32,7 +32,7 @@
 class PeerLists
 {
 public:
-    static constexpr Duration exchangeEvery = ExchangePace::exchangeEvery;
+    static constexpr Duration exchangeInterval = ExchangePacing::exchangeInterval;
 
     explicit PeerLists(std::size_t vms)
         : m_heard(vms)
@@ -45,7 +45,7 @@
     PeerWord wordFor(const NewsVm &sender, std::size_t senderNumber, std::size_t receiverNumber,
                      TimePoint now) const
     {
-        const UpstreamFollowing &following = *sender.m_following;
+        const UpstreamListSync &following = *sender.m_following;
         PeerWord word;
         word.m_revision = following.feed().revision();
         word.m_isStale = following.isStale(now);
@@ -72,11 +72,11 @@
         Heard &heard = m_heard[number][senderNumber];
         heard.m_revision = word.m_revision;
         heard.m_isStale = word.m_isStale;
-        heard.m_mark.hear(word.m_mark, now);
+        heard.m_mark.recordReceived(word.m_mark, now);
         if (!word.m_list)
             return false;
-        const ToldAge age{word.m_age, sentAfter(word.m_echo, vm.m_life, now)};
-        return vm.m_following->takeFromPeer(*word.m_list, age, now);
+        const ReportedAge age{word.m_age, sentAfter(word.m_echo, vm.m_life, now)};
+        return vm.m_following->applyFromPeer(*word.m_list, age, now);
     }
 
 private:
@@ -85,7 +85,7 @@
     {
         std::int64_t m_revision = 0;
         bool m_isStale = false;
-        HeardMark m_mark;
+        LastPeerTimestamp m_mark;
     };
 
     std::vector<std::map<std::size_t, Heard>> m_heard;
--- a/tests/support/request_way_world.hpp
+++ b/tests/support/request_way_world.hpp
@@ -258,7 +258,7 @@
     /// Exchanges words with another VM now and then, of whatever data centre.
     void exchangeLoop(NewsVm &vm)
     {
-        later(vm, PeerLists::exchangeEvery, [this, &vm] {
+        later(vm, PeerLists::exchangeInterval, [this, &vm] {
             NewsVm &peer = *vms()[m_way.drawIndex(vms().size())];
             if (&peer != &vm)
                 exchange(vm, peer);
--- a/tests/support/upstream_news_world.hpp
+++ b/tests/support/upstream_news_world.hpp
@@ -109,7 +109,7 @@
 
     void begin(NewsVm &vm)
     {
-        vm.m_following = std::make_unique<UpstreamFollowing>(m_bounds);
+        vm.m_following = std::make_unique<UpstreamListSync>(m_bounds);
         vm.m_following->setRole(vm.m_role);
         vm.m_breaker = CircuitBreaker();
         vm.m_told.clear();
@@ -123,8 +123,8 @@
     {
         const TimePoint now = m_agenda.now();
         vm.m_following->expire(now);
-        const FollowingStep step = vm.m_following->next(now);
-        if (const auto *rest = std::get_if<RestStep>(&step))
+        const SyncStep step = vm.m_following->next(now);
+        if (const auto *rest = std::get_if<IdleStep>(&step))
             later(vm, rest->m_time, [this, &vm] { follow(vm); });
         else if (const auto *watch = std::get_if<WatchStep>(&step))
             ask(vm, {watch->m_revision, watch->m_wait,
@@ -137,7 +137,7 @@
     void ask(NewsVm &vm, const StoreCall &call)
     {
         if (!vm.m_breaker.tryCall(call.m_sentAt))
-            return failed(vm, ReadingFailure::Unanswered);
+            return failed(vm, ReadFailure::Unanswered);
         if (vm.m_isTurnedAway)
             return fail(vm, call, std::min(wayOf(vm), call.m_timeout));
         if (loses(vm))
@@ -149,7 +149,7 @@
     {
         later(vm, call.m_sentAt + delay - m_agenda.now(), [this, &vm, call] {
             vm.m_breaker.onFailed(call.m_sentAt, m_agenda.now());
-            failed(vm, ReadingFailure::Unanswered);
+            failed(vm, ReadFailure::Unanswered);
         });
     }
 
@@ -179,13 +179,13 @@
         later(vm, way, [this, &vm, call, isHistoryGone, list, changes] {
             vm.m_breaker.onAnswered();
             if (isHistoryGone)
-                return failed(vm, ReadingFailure::HistoryGone);
+                return failed(vm, ReadFailure::HistoryGone);
             const TimePoint now = m_agenda.now();
             const WatchTimes times{call.m_sentAt, call.m_wait, now};
             if (call.m_revision)
-                vm.m_following->takeChanges(changes, list.m_revision, times);
+                vm.m_following->applyChanges(changes, list.m_revision, times);
             else
-                vm.m_following->takeListing(list, call.m_sentAt, now);
+                vm.m_following->applyListing(list, call.m_sentAt, now);
             confirmed(vm);
             pause(vm);
         });
@@ -205,34 +205,34 @@
         });
     }
 
-    void failed(NewsVm &vm, ReadingFailure failure)
+    void failed(NewsVm &vm, ReadFailure failure)
     {
         vm.m_following->noteFailed(failure);
-        if (failure == ReadingFailure::Unanswered)
+        if (failure == ReadFailure::Unanswered)
             leftUnanswered(vm);
         pause(vm);
     }
 
     void pause(NewsVm &vm)
     {
-        later(vm, vm.m_following->pauseAfterReading(m_agenda.now()), [this, &vm] { follow(vm); });
+        later(vm, vm.m_following->delayAfterRead(m_agenda.now()), [this, &vm] { follow(vm); });
     }
 
     void tellLoop(NewsVm &vm)
     {
         const TimePoint now = m_agenda.now();
-        const NewsState state{vm.m_following->feed().history().newest(), 0,
-                              vm.m_following->readAt()};
+        const UpdateState state{vm.m_following->feed().history().newest(), 0,
+                                vm.m_following->readAt()};
         const bool isReader = vm.m_role == StoreRole::Reader && vm.m_following->feed().isKnown();
         if (isReader && vm.m_pace.isDue(state, now)) {
-            vm.m_pace.noteTold(state, now);
+            vm.m_pace.recordSent(state, now);
             for (const auto &other : m_vms) {
                 const bool isNear = other->m_dataCentre == vm.m_dataCentre;
                 if (isNear && other.get() != &vm && !vm.m_told[other.get()].m_isBusy)
                     tell(vm, *other);
             }
         }
-        later(vm, NewsPace::tick, [this, &vm] { tellLoop(vm); });
+        later(vm, UpdatePacing::tick, [this, &vm] { tellLoop(vm); });
     }
 
     void tell(NewsVm &reader, NewsVm &follower)
@@ -250,17 +250,17 @@
             if (follower.m_isDead)
                 return;
             const TimePoint takenAt = m_agenda.now();
-            const ToldAge toldAge{age, sentAfter(echo, follower.m_life, takenAt)};
-            const auto taking = follower.m_following->takeNews(news, toldAge, takenAt);
+            const ReportedAge toldAge{age, sentAfter(echo, follower.m_life, takenAt)};
+            const auto taking = follower.m_following->receiveUpdate(news, toldAge, takenAt);
             if (taking != UpstreamFeed::ApplyResult::ChangesMissing)
                 confirmed(follower);
             const Duration back = wayOf(reader);
-            if (reader.m_life != life || takenAt + back - now > NewsPace::receiptTimeout)
+            if (reader.m_life != life || takenAt + back - now > UpdatePacing::receiptTimeout)
                 return;
             *receipt = true;
             const ClockMark mark{follower.m_life, takenAt};
             later(reader, back, [this, &reader, &follower, news, taking, mark] {
-                reader.m_marks[&follower].hear(mark, m_agenda.now());
+                reader.m_marks[&follower].recordReceived(mark, m_agenda.now());
                 ToldNews &answered = reader.m_told[&follower];
                 answered.m_isBusy = false;
                 if (taking == UpstreamFeed::ApplyResult::ChangesMissing)
@@ -269,7 +269,7 @@
                     answered.m_state.onApplied(news);
             });
         });
-        later(reader, NewsPace::receiptTimeout, [&reader, &follower, receipt] {
+        later(reader, UpdatePacing::receiptTimeout, [&reader, &follower, receipt] {
             if (!*receipt)
                 reader.m_told[&follower].m_isBusy = false;
         });
@@ -294,7 +294,7 @@
             vm->m_told.clear();
             vm->m_following->setRole(role);
         }
-        m_agenda.after(NewsPace::tick, [this] { chooseReaders(); });
+        m_agenda.after(UpdatePacing::tick, [this] { chooseReaders(); });
     }
 
     void changeUpstreams()
