--- a/bench/capacity/mesh.cpp
+++ b/bench/capacity/mesh.cpp
@@ -146,7 +146,7 @@
     if (!received.body.__isset.heartbeat)
         return;
     ++m_heartbeats;
-    sender.m_exchange->noteHeartbeatBytes(frame.size());
+    sender.m_exchange->recordHeartbeatBytes(frame.size());
     auto answered = receiver.onHeartbeat(received.body.heartbeat, m_now, wall());
     take(to, std::move(answered.m_commands));
     wire::PeerReply reply;
--- a/include/gypsumdale/fleet/config_command.hpp
+++ b/include/gypsumdale/fleet/config_command.hpp
@@ -26,7 +26,7 @@
 };
 
 /// Send a ConfigAsk to a peer.
-struct AskPeer
+struct QueryPeer
 {
     NodeId m_peer;
     ConfigAsk m_ask;
@@ -47,7 +47,7 @@
 };
 
 /// Put an object in force, in place of its lower version. A deleted object ends.
-struct InForce
+struct PutInForce
 {
     ConfigObject m_object;
     ConfigValue m_value;
@@ -62,15 +62,15 @@
     Findings m_findings;
 };
 
-/// The node knows from now on that it has at least what its former lives had in force. All InForce
-/// commands of the start stand before it.
+/// The node knows from now on that it has at least what its former lives had in force. All
+/// PutInForce commands of the start stand before it.
 struct ConfigReady
 {
     std::string m_reason;
 };
 
-using ConfigCommand = std::variant<ReadPlatform, WatchPlatform, AskPeer, SendUpdate, SendDigest,
-                                   InForce, BodyRefused, ConfigReady>;
+using ConfigCommand = std::variant<ReadPlatform, WatchPlatform, QueryPeer, SendUpdate, SendDigest,
+                                   PutInForce, BodyRefused, ConfigReady>;
 using ConfigCommands = std::vector<ConfigCommand>;
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/config_knowledge.hpp
+++ b/include/gypsumdale/fleet/config_knowledge.hpp
@@ -11,11 +11,11 @@
 
 /// The platform's configuration as it was at one version of its store, `completeTo`: all objects up
 /// to that version, and none missing. It only moves forward, so one number compares two of them.
-class ConfigKnowledge
+class ConfigReplica
 {
 public:
     /// Tells whether changes join on without a gap. Constant.
-    bool joins(const ConfigChanges &changes) const { return changes.m_from <= m_completeTo; }
+    bool isContiguous(const ConfigChanges &changes) const { return changes.m_from <= m_completeTo; }
 
     /// Takes changes that join on, and returns what is new by them, deletions included. Changes up
     /// to an earlier version than the known one are left aside whole: a lagging peer could name an
@@ -32,12 +32,12 @@
     /// Notes that nothing changed up to a version, as a digest with the same objects shows.
     /// Objects that came and went on the way are not known, so later questions from before that
     /// version get snapshots. Does nothing for an earlier version. Linear in the deletions.
-    void raiseTo(ConfigVersion version);
+    void advanceTo(ConfigVersion version);
 
     ConfigVersion completeTo() const { return m_completeTo; }
 
     /// Fills what a digest says of the objects. Constant.
-    void describe(ConfigDigest &digest) const;
+    void fillDigest(ConfigDigest &digest) const;
 
 private:
     bool takeObject(const ConfigObject &object);
--- a/include/gypsumdale/fleet/config_peers.hpp
+++ b/include/gypsumdale/fleet/config_peers.hpp
@@ -20,13 +20,13 @@
 
     /// A message of that life arrived; false if a later life was heard already. Nodes of other data
     /// centres pass.
-    bool meetLife(const NodeId &node, Incarnation incarnation);
+    bool recordIncarnation(const NodeId &node, Incarnation incarnation);
     /// The node knows all up to a version.
-    void noteComplete(const NodeId &node, ConfigVersion completeTo);
+    void recordCompleteVersion(const NodeId &node, ConfigVersion completeTo);
     /// It answered this life while ready itself.
-    void noteAnswer(const NodeId &node) { m_peers[node].m_answered = true; }
+    void recordAnswer(const NodeId &node) { m_peers[node].m_answered = true; }
     /// It was proved after this time that no process of it ran; false if it is none of them.
-    bool noteGone(const NodeId &node, TimePoint since);
+    bool recordGone(const NodeId &node, TimePoint since);
 
     /// Those that haven't answered.
     std::vector<NodeId> unanswered() const;
--- a/include/gypsumdale/fleet/config_store.hpp
+++ b/include/gypsumdale/fleet/config_store.hpp
@@ -34,7 +34,7 @@
     Duration m_watchTimeout = std::chrono::seconds(3);
     /// How long a node that isn't the relay waits for news of the platform before it reads it
     /// itself.
-    Duration m_relayPatience = std::chrono::seconds(5);
+    Duration m_relayTimeout = std::chrono::seconds(5);
     /// Between two questions to the same peer.
     Duration m_askInterval = std::chrono::milliseconds(500);
     /// After a failure of the platform: the first wait, doubled up to the longest.
@@ -45,7 +45,7 @@
 /// Which configuration one node has in force. Holds no clock and no sockets: the kernel passes
 /// events with the time in and carries out the commands that come back, in their order.
 ///
-/// What is *known* is the platform's state as of one version of its store (ConfigKnowledge). What
+/// What is *known* is the platform's state as of one version of its store (ConfigReplica). What
 /// is *in force* follows the known, object by object, and only rises:
 ///
 /// - A body that its checker refuses stays known, and isn't put in force.
@@ -146,7 +146,7 @@
     void addCandidate(const ConfigObject &object, TimePoint now, ConfigCommands &commands);
     void confirm(WallMillis time, TimePoint now);
     void compare(const ConfigDigestFrom &peer, TimePoint now, ConfigCommands &commands);
-    void noteAnswer(const ConfigUpdate &update);
+    void recordAnswer(const ConfigUpdate &update);
     void ask(const NodeId &peer, TimePoint now, ConfigCommands &commands);
     void askForReadiness(ConfigCommands &commands);
     void spreadDigest(ConfigCommands &commands) const;
@@ -161,7 +161,7 @@
     ConfigAsk makeAsk() const;
 
     ConfigStoreSetup m_setup;
-    ConfigKnowledge m_known;
+    ConfigReplica m_known;
     std::map<ConfigKey, Candidate> m_candidates;
     std::map<ConfigKey, ConfigObject> m_inForce;
     std::map<ConfigKey, BodyRefused> m_refused;
@@ -191,7 +191,7 @@
     ConfigStoreBuilder &startedAt(WallMillis time);
     ConfigStoreBuilder &clockMargin(Duration margin);
     ConfigStoreBuilder &watchTimeout(Duration timeout);
-    ConfigStoreBuilder &relayPatience(Duration patience);
+    ConfigStoreBuilder &relayTimeout(Duration patience);
     ConfigStore build() const { return ConfigStore(m_setup); }
 
 private:
--- a/include/gypsumdale/fleet/heartbeat_pace.hpp
+++ b/include/gypsumdale/fleet/heartbeat_pace.hpp
@@ -7,17 +7,17 @@
 namespace gypsumdale {
 
 /// Which node of a pair starts their exchanges; the other one does only if nothing comes.
-enum class HeartbeatRole { Starter, Second };
+enum class HeartbeatRole { Initiator, Responder };
 
 /// How often heartbeats go out: as often as the budget for their bytes allows, for as many peers as
 /// there are.
-class HeartbeatPace
+class HeartbeatPacing
 {
 public:
-    explicit HeartbeatPace(const MembershipSettings &settings);
+    explicit HeartbeatPacing(const MembershipSettings &settings);
 
     /// The size of a heartbeat as sent. Constant.
-    void noteBytes(std::size_t bytes);
+    void recordBytes(std::size_t bytes);
     /// Sets how many peers heartbeats go to, from which the interval follows.
     void setPeers(std::size_t peers);
     Duration interval() const { return m_interval; }
--- a/include/gypsumdale/fleet/listening_clock.hpp
+++ b/include/gypsumdale/fleet/listening_clock.hpp
@@ -9,10 +9,10 @@
 /// The time this process spent listening: the sum of the gaps between ticks, each counted up to a
 /// longest one. Silence is measured in it, so that a pause of the observer, which shows as one long
 /// gap, ages nobody.
-class ListeningClock
+class ActiveTimeClock
 {
 public:
-    ListeningClock(Duration longestGap, TimePoint now)
+    ActiveTimeClock(Duration longestGap, TimePoint now)
         : m_longestGap(longestGap)
         , m_lastTick(now)
     {}
@@ -23,7 +23,7 @@
         m_lastTick = now;
     }
 
-    Duration listened() const { return m_listened; }
+    Duration activeTime() const { return m_listened; }
 
 private:
     Duration m_longestGap;
--- a/include/gypsumdale/fleet/membership.hpp
+++ b/include/gypsumdale/fleet/membership.hpp
@@ -24,9 +24,9 @@
 /// incarnation: a node that hears that it was held for dead raises its own. Time in which this
 /// process itself did not run does not count as silence.
 ///
-/// The parts: NodeWatch holds what is believed of one node, ListeningClock the time that silence is
-/// measured in, HeartbeatPace how often heartbeats go out, SummaryBook and SummaryLink what data
-/// centres tell each other.
+/// The parts: NodeStateTracker holds what is believed of one node, ActiveTimeClock the time that
+/// silence is measured in, HeartbeatPacing how often heartbeats go out, SummaryTable and
+/// SummarySender what data centres tell each other.
 ///
 /// Single-threaded; give each heartbeat that arrives to onHeartbeat before tick is called next.
 class Membership
@@ -73,7 +73,7 @@
     void setCapacity(std::vector<ServiceCapacity> services) { m_services = std::move(services); }
 
     /// The size of a heartbeat as sent, from which the interval follows. Constant.
-    void noteHeartbeatBytes(std::size_t bytes) { m_pace.noteBytes(bytes); }
+    void recordHeartbeatBytes(std::size_t bytes) { m_pace.recordBytes(bytes); }
 
     const NodeIdentity &self() const { return m_settings.m_self; }
     bool isDraining() const { return m_isDraining; }
@@ -91,7 +91,7 @@
     std::vector<NodeId> dutyNodes() const;
 
     /// Nodes of a data centre that are alive and not leaving, without the own one. Linear.
-    std::vector<NodeIdentity> openNodes(const DataCentreId &dataCentre) const;
+    std::vector<NodeIdentity> availableNodes(const DataCentreId &dataCentre) const;
 
     /// Other data centres that nodes are known of. Linear in nodes.
     std::vector<DataCentreId> otherDataCentres() const;
@@ -102,14 +102,14 @@
 private:
     struct Peer
     {
-        NodeWatch m_watch;
+        NodeStateTracker m_tracker;
         TimePoint m_lastSent;
         /// What this node last spread to the peer.
-        SpreadRecord m_spread;
+        SentSummaries m_sentSummaries;
         std::int64_t m_nodesDigest = 0;
         TimePoint m_nodesSentAt;
         bool m_isSeed = false;
-        HeartbeatRole m_role = HeartbeatRole::Second;
+        HeartbeatRole m_role = HeartbeatRole::Responder;
     };
 
     Peer &ensure(const NodeIdentity &identity, TimePoint now);
@@ -119,7 +119,7 @@
     void takeRemoteNodes(const DataCentreSummary &summary, TimePoint now,
                          MembershipCommands &commands);
     void takeSelfSuspicion(const MembershipMessage &message, MembershipCommands &commands);
-    void judge(Peer &peer, TimePoint now, MembershipCommands &commands);
+    void detectSilence(Peer &peer, TimePoint now, MembershipCommands &commands);
     /// The node that cannot hear the peer either; nothing if there is none.
     std::optional<NodeId> witnessAgainst(const NodeIdentity &silent) const;
     bool isHeartbeatDue(const Peer &peer, TimePoint now) const;
@@ -131,8 +131,8 @@
     void forgetOldDead(TimePoint now);
     void sendSummaries(TimePoint now, WallMillis wallNow, MembershipCommands &commands);
     std::optional<NodeIdentity> summaryTarget(const DataCentreId &dataCentre,
-                                              const SummaryLink &link) const;
-    DataCentreSummary ownSummary(SummaryLink &link, WallMillis wallNow) const;
+                                              const SummarySender &link) const;
+    DataCentreSummary ownSummary(SummarySender &link, WallMillis wallNow) const;
     MembershipMessage messageAcross(const DataCentreId &dataCentre, WallMillis wallNow);
     void attachNodes(Peer &peer, MembershipMessage &message, TimePoint now);
     std::vector<NodeIdentity> ownNodes() const;
@@ -142,11 +142,11 @@
 
     MembershipSettings m_settings;
     std::map<NodeId, Peer> m_peers;
-    std::map<DataCentreId, SummaryLink> m_links;
-    SummaryBook m_summaries;
+    std::map<DataCentreId, SummarySender> m_links;
+    SummaryTable m_summaries;
     std::vector<ServiceCapacity> m_services;
-    ListeningClock m_listening;
-    HeartbeatPace m_pace;
+    ActiveTimeClock m_listening;
+    HeartbeatPacing m_pace;
     std::int64_t m_sequence = 0;
     bool m_isDraining = false;
 };
--- a/include/gypsumdale/fleet/membership_message.hpp
+++ b/include/gypsumdale/fleet/membership_message.hpp
@@ -32,7 +32,7 @@
     std::vector<DataCentreSummary> m_summaries;
     /// Of the receiver's data centre, between data centres: the digest of the list of its nodes
     /// that the sender has.
-    std::int64_t m_heldNodesDigest = 0;
+    std::int64_t m_receiverNodesDigest = 0;
 };
 
 /// Send a heartbeat and give the answer to Membership::onReply.
--- a/include/gypsumdale/fleet/node.hpp
+++ b/include/gypsumdale/fleet/node.hpp
@@ -33,7 +33,7 @@
 };
 
 /// What this node holds of another one. Of nodes in other data centres only the summaries tell:
-/// m_lastHeard is then the summary's time.
+/// m_lastReceivedAt is then the summary's time.
 struct NodeView
 {
     NodeIdentity m_identity;
@@ -41,7 +41,7 @@
     /// It drains, or its VM is reclaimed. Holds for the incarnation, whatever is heard of it.
     bool m_isLeaving = false;
     TimePoint m_stateSince;
-    TimePoint m_lastHeard;
+    TimePoint m_lastReceivedAt;
     std::string m_reason;
 
     /// Whether it is heard and here to stay, so that it may be given new work.
--- a/include/gypsumdale/fleet/node_watch.hpp
+++ b/include/gypsumdale/fleet/node_watch.hpp
@@ -9,7 +9,7 @@
 namespace gypsumdale {
 
 /// What a heartbeat was to one that knows the sender.
-enum class HeartbeatNews {
+enum class HeartbeatFreshness {
     /// Older than one before, or of an incarnation that is held for dead.
     None,
     Fresh,
@@ -20,13 +20,13 @@
 /// What this node believes of another one, and why: its state with all that moves it.
 ///
 /// Dead and leaving hold for an incarnation. Silence is measured in listening time, which the
-/// caller gives (see ListeningClock). Each change of state is one NodeStateChanged.
-class NodeWatch
+/// caller gives (see ActiveTimeClock). Each change of state is one NodeStateChanged.
+class NodeStateTracker
 {
 public:
-    NodeWatch() = default;
+    NodeStateTracker() = default;
     /// A node not heard yet, since the listening time given.
-    NodeWatch(const NodeIdentity &identity, Duration listened, TimePoint now);
+    NodeStateTracker(const NodeIdentity &identity, Duration activeTime, TimePoint now);
 
     const NodeView &view() const { return m_view; }
     const NodeIdentity &identity() const { return m_view.m_identity; }
@@ -35,16 +35,16 @@
     bool isLeaving() const { return m_view.m_isLeaving; }
     bool isOpen() const { return m_view.isOpen(); }
     bool isDead() const { return m_view.m_state == NodeState::Dead; }
-    Duration silence(Duration listened) const { return listened - m_heardAt; }
+    Duration silence(Duration activeTime) const { return activeTime - m_heardAt; }
     /// When a heartbeat of it last arrived.
     TimePoint lastExchange() const { return m_lastExchange; }
 
     /// Takes in the sender's own part of a heartbeat.
-    HeartbeatNews hear(const MembershipMessage &message, Duration listened, TimePoint now,
-                       MembershipCommands &commands);
+    HeartbeatFreshness recordHeartbeat(const MembershipMessage &message, Duration activeTime,
+                                       TimePoint now, MembershipCommands &commands);
     /// Its data centre's summary names it so; true if it is a new process.
-    bool hearOf(const NodeIdentity &identity, Duration listened, TimePoint now,
-                MembershipCommands &commands);
+    bool recordSummaryEntry(const NodeIdentity &identity, Duration activeTime, TimePoint now,
+                            MembershipCommands &commands);
 
     /// Tells whether this node cannot hear `other` in its incarnation, by its last heartbeat.
     bool suspects(const NodeIdentity &other) const;
@@ -57,13 +57,13 @@
 
     /// What silence alone changes for a node of the own data centre; `suspectAfter` is the silence
     /// that makes a suspect.
-    void judge(Duration suspectAfter, Duration listened, TimePoint now,
-               MembershipCommands &commands);
+    void detectSilence(Duration suspectAfter, Duration activeTime, TimePoint now,
+                       MembershipCommands &commands);
     /// The same for one of another data centre, whose summaries fail to come.
-    void judgeElsewhere(Duration suspectAfter, Duration listened, TimePoint now,
-                        MembershipCommands &commands);
+    void detectRemoteSilence(Duration suspectAfter, Duration activeTime, TimePoint now,
+                             MembershipCommands &commands);
     /// Another node cannot hear it either.
-    void confirmDead(const NodeId &witness, Duration listened, TimePoint now,
+    void confirmDead(const NodeId &witness, Duration activeTime, TimePoint now,
                      MembershipCommands &commands);
 
 private:
--- a/include/gypsumdale/fleet/notice_book.hpp
+++ b/include/gypsumdale/fleet/notice_book.hpp
@@ -12,7 +12,7 @@
 namespace gypsumdale {
 
 /// What a notice is to one that has a book of those before.
-enum class NoticeNews {
+enum class NoticeStatus {
     /// A copy of one that is kept, or of one that ran out here.
     Known,
     /// It came long after its deadline.
@@ -21,7 +21,7 @@
 };
 
 /// What a kept notice says of an upstream that shows up after it.
-struct NoticeConcern
+struct NoticeEffect
 {
     LeavingNotice m_notice;
     /// Nothing if the notice names the upstream or its VM: that one leaves. Otherwise its zone was
@@ -33,15 +33,15 @@
 /// lagging list shows only then is still concerned, and late copies are recognised. One that ran
 /// out is remembered by its id for as long again, since a peer that kept it longer must not bring
 /// it back.
-class NoticeBook
+class NoticeTable
 {
 public:
     /// `listLag` is how long the VM list may lag, `retention` how long after its deadline a notice
     /// is kept.
-    NoticeBook(Duration listLag, Duration retention);
+    NoticeTable(Duration listLag, Duration retention);
 
     /// Keeps the notice unless it is known. Logarithmic.
-    NoticeNews take(const LeavingNotice &notice, TimePoint now, WallMillis wallNow);
+    NoticeStatus take(const LeavingNotice &notice, TimePoint now, WallMillis wallNow);
 
     /// Lets run out what is old. Linear.
     void expire(TimePoint now);
@@ -53,8 +53,8 @@
 
     /// What the kept notices say of an upstream that shows up now, in the order of their ids.
     /// Linear.
-    std::vector<NoticeConcern> concerning(const UpstreamDeclaration &declaration,
-                                          TimePoint now) const;
+    std::vector<NoticeEffect> effectsOn(const UpstreamDeclaration &declaration,
+                                        TimePoint now) const;
 
 private:
     struct Kept
--- a/include/gypsumdale/fleet/peer_exchange.hpp
+++ b/include/gypsumdale/fleet/peer_exchange.hpp
@@ -30,7 +30,7 @@
 };
 
 /// The configuration a peer holds, from its heartbeat.
-struct ConfigDigestSeen
+struct ConfigDigestReceived
 {
     NodeId m_node;
     DataCentreId m_dataCentre;
@@ -39,7 +39,7 @@
 
 using ExchangeCommand =
         std::variant<SendToPeer, NodeStateChanged, OwnIncarnationRaised, ProbeUpstream,
-                     UpstreamStateChanged, TokensReported, ConfigDigestSeen>;
+                     UpstreamStateChanged, TokensReported, ConfigDigestReceived>;
 using ExchangeCommands = std::vector<ExchangeCommand>;
 
 /// Joins membership, upstreams, tokens and the digest of the configuration into the heartbeats of
@@ -80,7 +80,8 @@
     ExchangeCommands onVmList(const std::vector<ListedNode> &nodes,
                               const std::vector<ListedUpstream> &upstreams, TimePoint now,
                               WallMillis wallNow);
-    ExchangeCommands setStatic(const std::vector<UpstreamDeclaration> &declared, TimePoint now);
+    ExchangeCommands setConfiguredUpstreams(const std::vector<UpstreamDeclaration> &declared,
+                                            TimePoint now);
     ExchangeCommands onLoad(const UpstreamId &upstream, const UpstreamLoad &load, TimePoint now);
     ExchangeCommands onProbeFailed(const UpstreamId &upstream, const std::string &reason,
                                    TimePoint now);
@@ -98,7 +99,7 @@
     void setDraining() { m_membership.setDraining(); }
 
     /// Says how many bytes a heartbeat took on the wire, as encoded.
-    void noteHeartbeatBytes(std::size_t bytes) { m_membership.noteHeartbeatBytes(bytes); }
+    void recordHeartbeatBytes(std::size_t bytes) { m_membership.recordHeartbeatBytes(bytes); }
 
     const Membership &membership() const { return m_membership; }
     const UpstreamTable &upstreams() const { return m_upstreams; }
--- a/include/gypsumdale/fleet/probe_duty.hpp
+++ b/include/gypsumdale/fleet/probe_duty.hpp
@@ -34,7 +34,7 @@
     ProbeOwners ownersOf(const UpstreamId &upstream) const;
 
     /// Tells whether all nodes tell each other everything, instead of only the owners.
-    bool isSmall() const { return m_nodes.size() <= m_fewNodes; }
+    bool isFullMesh() const { return m_nodes.size() <= m_fullMeshLimit; }
 
     /// This node probes one upstream more, or one less.
     void add() { ++m_owned; }
@@ -44,7 +44,7 @@
 private:
     std::vector<NodeId> m_nodes;
     std::size_t m_owners;
-    std::size_t m_fewNodes;
+    std::size_t m_fullMeshLimit;
     Duration m_shortest;
     Duration m_longest;
     double m_probesPerSecond;
--- a/include/gypsumdale/fleet/route_scope.hpp
+++ b/include/gypsumdale/fleet/route_scope.hpp
@@ -28,14 +28,14 @@
     std::vector<DataCentreId> m_dataCentres;
 };
 /// Nothing is left to route to; the text says why.
-struct RouteNowhere
+struct RouteUnavailable
 {
     std::string m_reason;
 };
-using RouteScope = std::variant<RouteOwn, RouteRemote, RouteNowhere>;
+using RouteScope = std::variant<RouteOwn, RouteRemote, RouteUnavailable>;
 
 /// What the own data centre's upstreams of a service can take.
-struct OwnRoom
+struct OwnCapacity
 {
     /// One may get new work, live or suspect.
     bool m_hasOpen = false;
@@ -47,7 +47,7 @@
 /// Where a request for a service may go: the own data centre unless its upstreams are gone or, if
 /// the setting allows, full; then others by their summaries, of which those older than
 /// `longestAge` don't count. Linear in the summaries.
-RouteScope chooseRouteScope(const OwnRoom &own, const ServiceId &service, RemoteScope scope,
+RouteScope chooseRouteScope(const OwnCapacity &own, const ServiceId &service, RemoteScope scope,
                             const std::map<DataCentreId, ReceivedSummary> &summaries,
                             Duration longestAge, TimePoint now);
 
--- a/include/gypsumdale/fleet/summary_book.hpp
+++ b/include/gypsumdale/fleet/summary_book.hpp
@@ -13,27 +13,27 @@
 /// From whom a summary came.
 enum class SummarySource {
     /// From a node of the data centre it is about: it is this node's to spread.
-    ItsDataCentre,
+    DescribedDataCentre,
     /// From a node of the own data centre.
     OwnDataCentre,
 };
 
 /// When the summary, and the list of nodes, that were spread to a peer had been made.
-struct SpreadTimes
+struct SentSummaryTimes
 {
     WallMillis m_madeAt = 0;
     WallMillis m_nodesMadeAt = 0;
 };
 
 /// What was last spread to one peer.
-using SpreadRecord = std::map<DataCentreId, SpreadTimes>;
+using SentSummaries = std::map<DataCentreId, SentSummaryTimes>;
 
 /// The latest summary of each other data centre, and which of them this node spreads.
-class SummaryBook
+class SummaryTable
 {
 public:
     /// A data centre without a summary for longer than `freshFor` is not heard.
-    explicit SummaryBook(Duration freshFor);
+    explicit SummaryTable(Duration freshFor);
 
     /// Returns false if the summary is no news. Its list of nodes may be taken all the same.
     bool take(const DataCentreSummary &summary, SummarySource source, TimePoint now);
@@ -45,13 +45,13 @@
         return m_held.at(dataCentre).m_summary;
     }
     /// Tells whether the data centre is heard.
-    bool isHeard(const DataCentreId &dataCentre, TimePoint now) const;
+    bool isReachable(const DataCentreId &dataCentre, TimePoint now) const;
     /// Over the list of nodes held of a data centre; 0 if there is none.
     std::int64_t nodesDigest(const DataCentreId &dataCentre) const;
 
     /// What a peer of the own data centre was not told yet, noted as told. Lists of nodes go along
     /// only where they are new. Linear in the data centres.
-    std::vector<DataCentreSummary> newsFor(SpreadRecord &told) const;
+    std::vector<DataCentreSummary> unsentFor(SentSummaries &told) const;
 
 private:
     Duration m_freshFor;
@@ -61,19 +61,19 @@
 };
 
 /// The own summaries on their way to one other data centre.
-class SummaryLink
+class SummarySender
 {
 public:
     /// Tells whether the next one is due, and begins the wait for the one after if so.
-    bool takeTurn(Duration interval, TimePoint now);
+    bool startIfDue(Duration interval, TimePoint now);
     /// How many exchanges failed, which says whose turn it is over there.
     std::size_t failures() const { return m_failures; }
     void fail() { ++m_failures; }
     /// The digest of this data centre's list that the other one said to have.
-    void setHeldThere(std::int64_t digest) { m_heldThere = digest; }
+    void setRemoteNodesDigest(std::int64_t digest) { m_heldThere = digest; }
     /// Counts a summary; tells whether the list of nodes goes along, as the other one has another
     /// or none was sent in so many summaries.
-    bool bringsNodes(std::int64_t digest, int summariesPerNodeList);
+    bool includesNodeList(std::int64_t digest, int summariesPerNodeList);
 
 private:
     TimePoint m_lastSent;
--- a/include/gypsumdale/fleet/upstream_message.hpp
+++ b/include/gypsumdale/fleet/upstream_message.hpp
@@ -20,7 +20,7 @@
 
 /// A notice that is new here: tell every node of the own data centre at once, and, unless it came
 /// from another data centre, two nodes of each other one.
-struct SpreadNotice
+struct ForwardNotice
 {
     LeavingNotice m_notice;
     bool m_toOtherDataCentres = true;
@@ -35,7 +35,7 @@
     WallMillis m_deadline = 0;
 };
 
-using UpstreamCommand = std::variant<ProbeUpstream, SpreadNotice, UpstreamStateChanged>;
+using UpstreamCommand = std::variant<ProbeUpstream, ForwardNotice, UpstreamStateChanged>;
 using UpstreamCommands = std::vector<UpstreamCommand>;
 
 /// A VM of an upstream as the cloud's lagging list shows it.
@@ -70,6 +70,6 @@
 };
 
 /// From where a notice reached this node.
-enum class NoticeSource { Here, OwnDataCentre, OtherDataCentre };
+enum class NoticeSource { Local, OwnDataCentre, OtherDataCentre };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/upstream_set.hpp
+++ b/include/gypsumdale/fleet/upstream_set.hpp
@@ -31,7 +31,7 @@
 /// All that the table holds of one upstream.
 struct UpstreamEntry
 {
-    UpstreamWatch m_watch;
+    UpstreamStateTracker m_tracker;
     std::int64_t m_key = 0;
     ProbeOwners m_owners;
     bool m_isOwned = false;
@@ -41,7 +41,7 @@
     int m_missedLists = 0;
     TimePoint m_nextProbe;
     int m_failedProbes = 0;
-    OwnerWord m_word;
+    ObservationSchedule m_schedule;
     InFlightReports m_inFlight;
 };
 
@@ -62,7 +62,7 @@
     const UpstreamEntry &at(std::int64_t key) const { return m_entries.at(m_byKey.at(key)); }
 
     /// Adds one that is not there yet.
-    UpstreamEntry &insert(const UpstreamDeclaration &declaration, UpstreamPlace place,
+    UpstreamEntry &insert(const UpstreamDeclaration &declaration, UpstreamLocality place,
                           TimePoint now);
     void redeclare(UpstreamEntry &entry, const UpstreamDeclaration &declaration);
     void erase(const UpstreamId &upstream);
@@ -80,7 +80,7 @@
         if (group == m_byService.end())
             return;
         for (const UpstreamId &upstream : group->second) {
-            const UpstreamView &view = m_entries.at(upstream).m_watch.view();
+            const UpstreamView &view = m_entries.at(upstream).m_tracker.view();
             if (view.isOpen())
                 visit(view);
         }
@@ -91,7 +91,7 @@
                                          const DataCentreId &dataCentre) const;
 
     /// What the upstreams of a service and data centre can take. Linear in them.
-    OwnRoom roomOf(const ServiceId &service, const DataCentreId &dataCentre) const;
+    OwnCapacity openCapacityOf(const ServiceId &service, const DataCentreId &dataCentre) const;
 
     /// What the live upstreams of a data centre can take on, by service. Linear.
     std::vector<ServiceCapacity> capacityOf(const DataCentreId &dataCentre) const;
--- a/include/gypsumdale/fleet/upstream_table.hpp
+++ b/include/gypsumdale/fleet/upstream_table.hpp
@@ -21,16 +21,18 @@
 /// it comes back with a higher incarnation. An upstream that is leaving or gone is never among the
 /// candidates.
 ///
-/// The parts: UpstreamSet holds the upstreams, UpstreamWatch the state of one of them, NoticeBook
-/// the notices, ProbeDuty who probes what, OwnerWord when an owner speaks, and chooseRouteScope
-/// chooses between data centres. The table takes in events and hands them on to these.
+/// The parts: UpstreamSet holds the upstreams, UpstreamStateTracker the state of one of them,
+/// NoticeTable the notices, ProbeDuty who probes what, ObservationSchedule when an owner speaks,
+/// and chooseRouteScope chooses between data centres. The table takes in events and hands them on
+/// to these.
 class UpstreamTable
 {
 public:
     explicit UpstreamTable(UpstreamTableSettings settings);
 
     /// Replaces the upstreams that settings name. Linear.
-    UpstreamCommands setStatic(const std::vector<UpstreamDeclaration> &declared, TimePoint now);
+    UpstreamCommands setConfiguredUpstreams(const std::vector<UpstreamDeclaration> &declared,
+                                            TimePoint now);
 
     /// Takes in the cloud's list. It lags: it adds VMs and says leaving, but a VM it shows live
     /// although a notice said otherwise stays leaving. A VM no longer shown is leaving, and gone
@@ -81,7 +83,7 @@
                                    TimePoint now);
     void onInFlight(const NodeId &from, const InFlightReport &report);
     /// Drops what a node reported of its requests, when it is dead or started anew. Linear.
-    void forgetReports(const NodeId &node);
+    void removeReports(const NodeId &node);
 
     /// The notices still kept, and a digest over their ids, with which peers find out that one of
     /// them missed some.
@@ -135,11 +137,11 @@
     {
         return declaration.m_dataCentre == m_settings.m_dataCentre;
     }
-    UpstreamPlace placeOf(const UpstreamDeclaration &declaration) const;
+    UpstreamLocality placeOf(const UpstreamDeclaration &declaration) const;
 
     UpstreamTableSettings m_settings;
     UpstreamSet m_entries;
-    NoticeBook m_notices;
+    NoticeTable m_notices;
     ProbeDuty m_duty;
     TimePoint m_lastSweep;
     ChangeLog<std::int64_t> m_changes;
--- a/include/gypsumdale/fleet/upstream_table_settings.hpp
+++ b/include/gypsumdale/fleet/upstream_table_settings.hpp
@@ -17,7 +17,7 @@
     std::size_t m_owners = 2;
     /// Up to so many nodes tell each other all their requests in flight; where there are more, each
     /// tells only the owners, who tell the sum.
-    std::size_t m_fewNodes = 12;
+    std::size_t m_fullMeshLimit = 12;
     /// The shortest time between two probes of an upstream by one owner.
     Duration m_probeInterval = std::chrono::milliseconds(500);
     Duration m_longestProbeInterval = std::chrono::seconds(10);
@@ -28,7 +28,7 @@
     /// How long this node avoids an upstream that failed one of its own requests.
     Duration m_failurePenalty = std::chrono::seconds(2);
     /// An owner tells of an upstream at least this often, changed or not.
-    Duration m_shareInterval = std::chrono::seconds(5);
+    Duration m_reportInterval = std::chrono::seconds(5);
     /// Silence after which nobody's word on an upstream counts any more: it is suspect.
     Duration m_longestSilence = std::chrono::seconds(20);
     /// Silence after which a VM that the list no longer shows counts as gone.
--- a/include/gypsumdale/fleet/upstream_watch.hpp
+++ b/include/gypsumdale/fleet/upstream_watch.hpp
@@ -10,11 +10,11 @@
 namespace gypsumdale {
 
 /// Who looks after an upstream, which says from whom this node hears of it.
-enum class UpstreamPlace {
+enum class UpstreamLocality {
     /// Nodes of this data centre probe it.
-    Here,
+    Local,
     /// Its own data centre watches it; here it counts as live but for failed requests.
-    Elsewhere,
+    Remote,
 };
 
 /// After which silence what is believed of an upstream.
@@ -33,11 +33,12 @@
 /// Leaving is sticky. Once the VM itself goes, no incarnation on it gets new work; where only the
 /// process goes, a higher incarnation that answers ends it. Each change of state is one
 /// UpstreamStateChanged.
-class UpstreamWatch
+class UpstreamStateTracker
 {
 public:
-    UpstreamWatch() = default;
-    UpstreamWatch(const UpstreamDeclaration &declaration, UpstreamPlace place, TimePoint now);
+    UpstreamStateTracker() = default;
+    UpstreamStateTracker(const UpstreamDeclaration &declaration, UpstreamLocality place,
+                         TimePoint now);
 
     const UpstreamView &view() const { return m_view; }
     bool isVmLeaving() const { return m_isVmLeaving; }
@@ -49,7 +50,7 @@
     /// The upstream is no longer declared at all.
     void drop(TimePoint now, UpstreamCommands &commands);
     /// The VM list no longer shows its VM, and is believed.
-    void delist(TimePoint now, UpstreamCommands &commands);
+    void markUnlisted(TimePoint now, UpstreamCommands &commands);
     /// The notice names the upstream, its VM or its zone. A drain of an earlier incarnation is
     /// none of this one's business.
     void leave(const LeavingNotice &notice, TimePoint now, UpstreamCommands &commands);
@@ -57,30 +58,30 @@
     void holdBack(TimePoint until, TimePoint now, UpstreamCommands &commands);
 
     /// Takes in what the upstream said of itself; false if something later is known.
-    bool takeLoad(const UpstreamLoad &load, TimePoint observedAt);
+    bool recordLoad(const UpstreamLoad &load, TimePoint observedAt);
     /// After a load was taken in: what a sign of life changes.
-    void reviveIfHeard(TimePoint now, UpstreamCommands &commands);
+    void recoverIfAnswered(TimePoint now, UpstreamCommands &commands);
 
     /// `node` cannot reach it, or can again. A word of suspicion alone changes no state.
-    void suspectBy(const NodeId &node) { m_suspectedBy.insert(node); }
-    void trustBy(const NodeId &node) { m_suspectedBy.erase(node); }
+    void addSuspicion(const NodeId &node) { m_suspectedBy.insert(node); }
+    void clearSuspicion(const NodeId &node) { m_suspectedBy.erase(node); }
     /// Suspect if the node cannot reach it, otherwise the state.
     UpstreamState stateSeenBy(const NodeId &node) const;
     /// Drops the words of all other nodes.
-    void keepSuspicionsOf(const std::vector<NodeId> &nodes);
+    void retainSuspicionsOf(const std::vector<NodeId> &nodes);
 
     /// Probes of this node failed so often that it suspects the upstream itself.
-    void failProbes(const NodeId &self, const std::string &reason, TimePoint now,
-                    UpstreamCommands &commands);
+    void recordProbeFailure(const NodeId &self, const std::string &reason, TimePoint now,
+                            UpstreamCommands &commands);
     /// A request failed there: suspect at least until `penaltyUntil`.
-    void failRequest(const std::string &reason, TimePoint penaltyUntil, TimePoint now,
-                     UpstreamCommands &commands);
+    void recordRequestFailure(const std::string &reason, TimePoint penaltyUntil, TimePoint now,
+                              UpstreamCommands &commands);
     /// A request got an answer, which ends the penalty.
-    void passRequest(TimePoint now, UpstreamCommands &commands);
+    void recordRequestSuccess(TimePoint now, UpstreamCommands &commands);
 
     /// What time alone changes. `isListed` tells whether the VM list shows its VM.
-    void settle(UpstreamPlace place, bool isListed, const SilenceLimits &limits, TimePoint now,
-                WallMillis wallNow, UpstreamCommands &commands);
+    void updateByTime(UpstreamLocality place, bool isListed, const SilenceLimits &limits,
+                      TimePoint now, WallMillis wallNow, UpstreamCommands &commands);
 
 private:
     void setState(UpstreamState state, std::string reason, TimePoint now,
--- a/include/gypsumdale/kernel/config_driver.hpp
+++ b/include/gypsumdale/kernel/config_driver.hpp
@@ -46,10 +46,10 @@
     void run(const ConfigCommands &commands);
     void execute(const ReadPlatform &command);
     void execute(const WatchPlatform &command);
-    void execute(const AskPeer &command);
+    void execute(const QueryPeer &command);
     void execute(const SendUpdate &command);
     void execute(const SendDigest &command);
-    void execute(const InForce &command);
+    void execute(const PutInForce &command);
     void execute(const BodyRefused &command);
     void execute(const ConfigReady &command);
     void runTimer();
--- a/include/gypsumdale/kernel/fleet_driver.hpp
+++ b/include/gypsumdale/kernel/fleet_driver.hpp
@@ -25,7 +25,7 @@
 {
     std::function<void(const NodeStateChanged &)> m_nodeChanged;
     std::function<void(const UpstreamStateChanged &)> m_upstreamChanged;
-    std::function<void(const ConfigDigestSeen &)> m_configSeen;
+    std::function<void(const ConfigDigestReceived &)> m_configSeen;
     std::function<void(const NodeId &, const PeerLoad &)> m_peerLoad;
     /// A reclaim notice that concerns this node's own VM or data centre.
     std::function<void(const LeavingNotice &)> m_ownNotice;
@@ -71,7 +71,7 @@
     void execute(const ProbeUpstream &command);
     void execute(const UpstreamStateChanged &command);
     void execute(const TokensReported &command);
-    void execute(const ConfigDigestSeen &command);
+    void execute(const ConfigDigestReceived &command);
     void probe(const ProbeUpstream &command);
     void takeInFlight(const NodeId &sender, const wire::Heartbeat &heartbeat);
     void runTicks();
--- a/src/fleet/config_knowledge.cpp
+++ b/src/fleet/config_knowledge.cpp
@@ -22,10 +22,10 @@
 
 } // namespace
 
-ConfigObjects ConfigKnowledge::take(const ConfigChanges &changes)
+ConfigObjects ConfigReplica::take(const ConfigChanges &changes)
 {
     ConfigObjects news;
-    if (!joins(changes) || changes.m_upTo < m_completeTo)
+    if (!isContiguous(changes) || changes.m_upTo < m_completeTo)
         return news;
     for (const auto &object : changes.m_objects) {
         if (takeObject(object))
@@ -44,7 +44,7 @@
     return news;
 }
 
-bool ConfigKnowledge::takeObject(const ConfigObject &object)
+bool ConfigReplica::takeObject(const ConfigObject &object)
 {
     auto &known = m_objects[object.m_key];
     if (known.m_version >= object.m_version)
@@ -53,7 +53,7 @@
     return true;
 }
 
-void ConfigKnowledge::endMissing(const ConfigChanges &snapshot, ConfigObjects &news)
+void ConfigReplica::endMissing(const ConfigChanges &snapshot, ConfigObjects &news)
 {
     std::set<ConfigKey> present;
     for (const auto &object : snapshot.m_objects)
@@ -67,7 +67,7 @@
     }
 }
 
-ConfigChanges ConfigKnowledge::changesAfter(ConfigVersion from) const
+ConfigChanges ConfigReplica::changesAfter(ConfigVersion from) const
 {
     const bool isSnapshot = from < m_historyFrom || from == 0;
     ConfigChanges changes{isSnapshot ? 0 : from, m_completeTo, {}};
@@ -79,12 +79,12 @@
     return changes;
 }
 
-bool ConfigKnowledge::isSame(const ConfigDigest &digest) const
+bool ConfigReplica::isSame(const ConfigDigest &digest) const
 {
     return digest.m_hash == m_hash && digest.m_count == m_count && digest.m_highest == m_highest;
 }
 
-void ConfigKnowledge::raiseTo(ConfigVersion version)
+void ConfigReplica::advanceTo(ConfigVersion version)
 {
     if (version <= m_completeTo)
         return;
@@ -92,7 +92,7 @@
     forgetDeletions();
 }
 
-void ConfigKnowledge::describe(ConfigDigest &digest) const
+void ConfigReplica::fillDigest(ConfigDigest &digest) const
 {
     digest.m_completeTo = m_completeTo;
     digest.m_hash = m_hash;
@@ -100,14 +100,14 @@
     digest.m_highest = m_highest;
 }
 
-void ConfigKnowledge::forgetDeletions()
+void ConfigReplica::forgetDeletions()
 {
     m_historyFrom = m_completeTo;
     std::erase_if(m_objects, [](const auto &entry) { return entry.second.m_deleted; });
     m_deletions = 0;
 }
 
-void ConfigKnowledge::rehash()
+void ConfigReplica::rehash()
 {
     std::string summary;
     m_count = 0;
--- a/src/fleet/config_peers.cpp
+++ b/src/fleet/config_peers.cpp
@@ -22,7 +22,7 @@
 /// Failure guarded against: a peer's late message from before its restart is taken as proof that it
 /// knows a version, which the restart has made it forget; both could then lose it. What a former
 /// life said is dropped as soon as a later life was heard.
-bool ConfigPeers::meetLife(const NodeId &node, Incarnation incarnation)
+bool ConfigPeers::recordIncarnation(const NodeId &node, Incarnation incarnation)
 {
     const auto found = m_peers.find(node);
     if (found == m_peers.end())
@@ -39,13 +39,13 @@
     return true;
 }
 
-void ConfigPeers::noteComplete(const NodeId &node, ConfigVersion completeTo)
+void ConfigPeers::recordCompleteVersion(const NodeId &node, ConfigVersion completeTo)
 {
     auto &view = m_peers[node];
     view.m_completeTo = std::max(view.m_completeTo, completeTo);
 }
 
-bool ConfigPeers::noteGone(const NodeId &node, TimePoint since)
+bool ConfigPeers::recordGone(const NodeId &node, TimePoint since)
 {
     const auto found = m_peers.find(node);
     if (found == m_peers.end())
--- a/src/fleet/config_store.cpp
+++ b/src/fleet/config_store.cpp
@@ -66,7 +66,7 @@
                                             TimePoint now)
 {
     ConfigCommands commands;
-    if (!m_known.joins(changes))
+    if (!m_known.isContiguous(changes))
         return onPlatformTooOld(now);
     onPlatformAnswer(changes, askedAt, now, commands);
     spreadChanges(changes, commands);
@@ -104,7 +104,7 @@
 
 ConfigCommands ConfigStore::onAsk(const ConfigAsk &ask, TimePoint)
 {
-    if (!m_peers.meetLife(ask.m_node, ask.m_incarnation))
+    if (!m_peers.recordIncarnation(ask.m_node, ask.m_incarnation))
         return {};
     ConfigUpdate update{digest(), m_known.changesAfter(ask.m_from), ask.m_node, ask.m_incarnation};
     return {SendUpdate{ask.m_node, std::move(update)}};
@@ -123,7 +123,7 @@
     const bool hasChanged = takeChanges(update.m_changes, now, commands);
     compare(sender, now, commands);
     if (isAnswer)
-        noteAnswer(update);
+        recordAnswer(update);
     else
         commands.emplace_back(SendDigest{sender.m_node, digest()});
     if (hasChanged && !isLocal(sender.m_node))
@@ -135,7 +135,7 @@
 ConfigCommands ConfigStore::onPeerGone(const NodeId &peer, TimePoint since)
 {
     ConfigCommands commands;
-    if (m_peers.noteGone(peer, since))
+    if (m_peers.recordGone(peer, since))
         settle(commands);
     return commands;
 }
@@ -143,11 +143,11 @@
 /// Notes who sent a digest and what it says of its data centre; false for a life that has ended.
 bool ConfigStore::meetPeer(const ConfigDigestFrom &sender)
 {
-    if (!m_peers.meetLife(sender.m_node, sender.m_incarnation))
+    if (!m_peers.recordIncarnation(sender.m_node, sender.m_incarnation))
         return false;
     if (!isLocal(sender.m_node))
         return true;
-    m_peers.noteComplete(sender.m_node, sender.m_digest.m_completeTo);
+    m_peers.recordCompleteVersion(sender.m_node, sender.m_digest.m_completeTo);
     m_floor = std::max(m_floor, sender.m_digest.m_floor);
     return true;
 }
@@ -197,7 +197,7 @@
     const auto &theirs = peer.m_digest;
     const bool isSame = m_known.isSame(theirs);
     if (isSame)
-        m_known.raiseTo(theirs.m_completeTo);
+        m_known.advanceTo(theirs.m_completeTo);
     if (theirs.m_completeTo > m_known.completeTo()) {
         ask(peer.m_node, now, commands);
         return;
@@ -211,13 +211,13 @@
     usePlatform(now, commands);
 }
 
-void ConfigStore::noteAnswer(const ConfigUpdate &update)
+void ConfigStore::recordAnswer(const ConfigUpdate &update)
 {
     const auto &digest = update.m_sender.m_digest;
     if (!isLocal(update.m_sender.m_node) || !digest.m_ready)
         return;
     if (digest.m_completeTo <= m_known.completeTo())
-        m_peers.noteAnswer(update.m_sender.m_node);
+        m_peers.recordAnswer(update.m_sender.m_node);
 }
 
 ConfigAsk ConfigStore::makeAsk() const
@@ -231,13 +231,13 @@
     if (now < m_mayAskAt)
         return;
     m_mayAskAt = now + m_setup.m_askInterval;
-    commands.emplace_back(AskPeer{peer, makeAsk()});
+    commands.emplace_back(QueryPeer{peer, makeAsk()});
 }
 
 void ConfigStore::askForReadiness(ConfigCommands &commands)
 {
     for (const NodeId &node : m_peers.unanswered())
-        commands.emplace_back(AskPeer{node, makeAsk()});
+        commands.emplace_back(QueryPeer{node, makeAsk()});
 }
 
 void ConfigStore::spreadDigest(ConfigCommands &commands) const
@@ -279,7 +279,7 @@
         if (!object.m_deleted)
             m_inForce[object.m_key] = object;
         if (!object.m_deleted || wasInForce)
-            commands.emplace_back(InForce{std::move(object), std::move(value)});
+            commands.emplace_back(PutInForce{std::move(object), std::move(value)});
         candidate = m_candidates.erase(candidate);
     }
 }
@@ -349,7 +349,7 @@
     const auto order = rendezvousChoice(configRelayKey, m_liveNodes, m_liveNodes.size());
     const auto self = std::find(order.begin(), order.end(), m_setup.m_node);
     const auto rank = static_cast<int>(self - order.begin());
-    return now - m_confirmedSeenAt >= m_setup.m_relayPatience * std::min(1 + rank / 2, mostTurns);
+    return now - m_confirmedSeenAt >= m_setup.m_relayTimeout * std::min(1 + rank / 2, mostTurns);
 }
 
 bool ConfigStore::isRelay() const
@@ -389,7 +389,7 @@
 ConfigDigestFrom ConfigStore::digest() const
 {
     ConfigDigestFrom from{m_setup.m_node, m_setup.m_dataCentre, m_setup.m_incarnation, {}};
-    m_known.describe(from.m_digest);
+    m_known.fillDigest(from.m_digest);
     from.m_digest.m_floor = m_floor;
     from.m_digest.m_confirmedAsOf = m_confirmedAsOf;
     from.m_digest.m_ready = m_ready;
@@ -429,9 +429,9 @@
     return *this;
 }
 
-ConfigStoreBuilder &ConfigStoreBuilder::relayPatience(Duration patience)
+ConfigStoreBuilder &ConfigStoreBuilder::relayTimeout(Duration patience)
 {
-    m_setup.m_relayPatience = patience;
+    m_setup.m_relayTimeout = patience;
     return *this;
 }
 
--- a/src/fleet/detail/vm_list_belief.cpp
+++ b/src/fleet/detail/vm_list_belief.cpp
@@ -16,7 +16,7 @@
     std::size_t known = 0;
     std::size_t missing = 0;
     for (const auto &[upstream, entry] : upstreams) {
-        if (!entry.m_isListed || entry.m_watch.isVmLeaving())
+        if (!entry.m_isListed || entry.m_tracker.isVmLeaving())
             continue;
         ++known;
         missing += shown.contains(upstream) ? 0 : 1;
@@ -26,8 +26,8 @@
 
 } // namespace
 
-std::vector<UpstreamEntry *> takeMissing(UpstreamSet &upstreams, const std::set<UpstreamId> &shown,
-                                         TimePoint answeredSince)
+std::vector<UpstreamEntry *>
+recordMissingVms(UpstreamSet &upstreams, const std::set<UpstreamId> &shown, TimePoint answeredSince)
 {
     std::vector<UpstreamEntry *> believed;
     const bool isMassive = isMassiveLoss(upstreams, shown);
@@ -41,7 +41,7 @@
             continue;
         // A list that comes cut short shows as most VMs missing at once. Were it believed, a fault
         // of the cloud's interface would stop all service; VMs that answer are still there.
-        const bool answers = entry.m_watch.lastAnswer() > answeredSince;
+        const bool answers = entry.m_tracker.lastAnswer() > answeredSince;
         if (isMassive && answers)
             continue;
         entry.m_isListed = false;
--- a/src/fleet/heartbeat_pace.cpp
+++ b/src/fleet/heartbeat_pace.cpp
@@ -20,19 +20,19 @@
 
 } // namespace
 
-HeartbeatPace::HeartbeatPace(const MembershipSettings &settings)
+HeartbeatPacing::HeartbeatPacing(const MembershipSettings &settings)
     : m_shortest(settings.m_heartbeatInterval)
     , m_longest(settings.m_longestInterval)
     , m_bytesPerSecond(settings.m_bytesPerSecond)
     , m_interval(settings.m_heartbeatInterval)
 {}
 
-void HeartbeatPace::noteBytes(std::size_t bytes)
+void HeartbeatPacing::recordBytes(std::size_t bytes)
 {
     m_heartbeatBytes += sizeWeight * (static_cast<double>(bytes) - m_heartbeatBytes);
 }
 
-void HeartbeatPace::setPeers(std::size_t peers)
+void HeartbeatPacing::setPeers(std::size_t peers)
 {
     // An exchange with each peer is a heartbeat out and one in.
     const double bytes = 2 * m_heartbeatBytes * static_cast<double>(peers);
@@ -41,11 +41,11 @@
     m_interval = std::clamp(wanted, m_shortest, m_longest);
 }
 
-Duration HeartbeatPace::dueAfter(HeartbeatRole role, NodeState state) const
+Duration HeartbeatPacing::dueAfter(HeartbeatRole role, NodeState state) const
 {
     if (state == NodeState::Dead)
         return m_interval * deadIntervalFactor;
-    if (role == HeartbeatRole::Second)
+    if (role == HeartbeatRole::Responder)
         return std::chrono::duration_cast<Duration>(m_interval * secondIntervalFactor);
     return m_interval;
 }
@@ -56,7 +56,7 @@
     const std::string pair =
             isFirst ? self.text() + "|" + other.text() : other.text() + "|" + self.text();
     const bool firstStarts = (XXH3_64bits_withSeed(pair.data(), pair.size(), 0) & 1U) == 1;
-    return firstStarts == isFirst ? HeartbeatRole::Starter : HeartbeatRole::Second;
+    return firstStarts == isFirst ? HeartbeatRole::Initiator : HeartbeatRole::Responder;
 }
 
 } // namespace gypsumdale
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -47,7 +47,7 @@
     Peer &peer = entry->second;
     if (!isNew)
         return peer;
-    peer.m_watch = NodeWatch(identity, m_listening.listened(), now);
+    peer.m_tracker = NodeStateTracker(identity, m_listening.activeTime(), now);
     peer.m_role = heartbeatRole(self().m_node, identity.m_node);
     return peer;
 }
@@ -66,16 +66,17 @@
     m_pace.setPeers(meshSize());
 
     for (auto &[node, peer] : m_peers) {
-        if (!isOwn(peer.m_watch.identity().m_dataCentre)) {
+        if (!isOwn(peer.m_tracker.identity().m_dataCentre)) {
             // Counted in listening time: a pause of this process ages no other data centre.
-            peer.m_watch.judgeElsewhere(summaryPatience(), m_listening.listened(), now, commands);
+            peer.m_tracker.detectRemoteSilence(summaryPatience(), m_listening.activeTime(), now,
+                                               commands);
             continue;
         }
-        judge(peer, now, commands);
+        detectSilence(peer, now, commands);
         if (!isHeartbeatDue(peer, now))
             continue;
         peer.m_lastSent = now;
-        commands.push_back(SendHeartbeat{peer.m_watch.identity(), messageFor(peer, now)});
+        commands.push_back(SendHeartbeat{peer.m_tracker.identity(), messageFor(peer, now)});
     }
     sendSummaries(now, wallNow, commands);
     forgetOldDead(now);
@@ -86,7 +87,7 @@
 {
     std::size_t size = 0;
     for (const auto &[node, peer] : m_peers) {
-        const NodeWatch &watch = peer.m_watch;
+        const NodeStateTracker &watch = peer.m_tracker;
         size += !watch.isDead() && isOwn(watch.identity().m_dataCentre) ? 1 : 0;
     }
     return size;
@@ -96,28 +97,28 @@
 {
     if (peer.m_lastSent == TimePoint())
         return true;
-    const TimePoint last = std::max(peer.m_lastSent, peer.m_watch.lastExchange());
-    return now - last >= m_pace.dueAfter(peer.m_role, peer.m_watch.state());
+    const TimePoint last = std::max(peer.m_lastSent, peer.m_tracker.lastExchange());
+    return now - last >= m_pace.dueAfter(peer.m_role, peer.m_tracker.state());
 }
 
-void Membership::judge(Peer &peer, TimePoint now, MembershipCommands &commands)
+void Membership::detectSilence(Peer &peer, TimePoint now, MembershipCommands &commands)
 {
-    const Duration listened = m_listening.listened();
-    NodeWatch &watch = peer.m_watch;
-    watch.judge(m_settings.m_suspectAfter * m_pace.interval(), listened, now, commands);
+    const Duration activeTime = m_listening.activeTime();
+    NodeStateTracker &watch = peer.m_tracker;
+    watch.detectSilence(m_settings.m_suspectAfter * m_pace.interval(), activeTime, now, commands);
     const Duration deadAfter =
             std::max(m_settings.m_suspectAfter, m_settings.m_deadAfter) * m_pace.interval();
-    if (watch.isDead() || watch.silence(listened) < deadAfter)
+    if (watch.isDead() || watch.silence(activeTime) < deadAfter)
         return;
     if (const std::optional<NodeId> witness = witnessAgainst(watch.identity()))
-        watch.confirmDead(*witness, listened, now, commands);
+        watch.confirmDead(*witness, activeTime, now, commands);
 }
 
 std::optional<NodeId> Membership::witnessAgainst(const NodeIdentity &silent) const
 {
     for (const auto &[node, other] : m_peers) {
         // Only a node that is heard now can confirm: the word of one that is silent itself is old.
-        if (other.m_watch.isAlive() && other.m_watch.suspects(silent))
+        if (other.m_tracker.isAlive() && other.m_tracker.suspects(silent))
             return node;
     }
     return std::nullopt;
@@ -125,16 +126,16 @@
 
 bool Membership::isLeftOut(const Peer &peer, TimePoint now) const
 {
-    const NodeWatch &watch = peer.m_watch;
+    const NodeStateTracker &watch = peer.m_tracker;
     return watch.state() == NodeState::Suspect
-           && m_summaries.isHeard(watch.identity().m_dataCentre, now);
+           && m_summaries.isReachable(watch.identity().m_dataCentre, now);
 }
 
 void Membership::forgetOldDead(TimePoint now)
 {
     std::erase_if(m_peers, [&](const auto &entry) {
         const Peer &peer = entry.second;
-        const NodeWatch &watch = peer.m_watch;
+        const NodeStateTracker &watch = peer.m_tracker;
         const bool isNeverHeard = watch.identity().m_incarnation == 0;
         const bool isOver = watch.isDead() || isNeverHeard || isLeftOut(peer, now);
         const bool isNamed = peer.m_isSeed || watch.isListed();
@@ -164,13 +165,13 @@
     // but this.
     takeSelfSuspicion(message, received.m_commands);
     Peer &peer = ensure(message.m_from, now);
-    const HeartbeatNews news =
-            peer.m_watch.hear(message, m_listening.listened(), now, received.m_commands);
-    if (news == HeartbeatNews::None)
+    const HeartbeatFreshness news = peer.m_tracker.recordHeartbeat(
+            message, m_listening.activeTime(), now, received.m_commands);
+    if (news == HeartbeatFreshness::None)
         return received;
     received.m_isFresh = true;
-    if (news == HeartbeatNews::FromNewProcess)
-        peer.m_spread.clear();
+    if (news == HeartbeatFreshness::FromNewProcess)
+        peer.m_sentSummaries.clear();
     peer.m_nodesDigest = message.m_nodesDigest;
     const bool isDirect = !isOwn(message.m_from.m_dataCentre);
     if (message.m_nodes && !isDirect) {
@@ -180,7 +181,7 @@
         }
     }
     if (isDirect)
-        m_links[message.m_from.m_dataCentre].setHeldThere(message.m_heldNodesDigest);
+        m_links[message.m_from.m_dataCentre].setRemoteNodesDigest(message.m_receiverNodesDigest);
     for (const DataCentreSummary &summary : message.m_summaries)
         takeSummary(summary, isDirect, now, received.m_commands);
     return received;
@@ -203,7 +204,7 @@
     if (isOwn(summary.m_dataCentre))
         return;
     const SummarySource source =
-            isDirect ? SummarySource::ItsDataCentre : SummarySource::OwnDataCentre;
+            isDirect ? SummarySource::DescribedDataCentre : SummarySource::OwnDataCentre;
     if (m_summaries.take(summary, source, now))
         takeRemoteNodes(m_summaries.of(summary.m_dataCentre), now, commands);
 }
@@ -216,8 +217,8 @@
         return;
     for (const NodeIdentity &node : *summary.m_nodes) {
         Peer &peer = ensure(node, now);
-        if (peer.m_watch.hearOf(node, m_listening.listened(), now, commands))
-            peer.m_spread.clear();
+        if (peer.m_tracker.recordSummaryEntry(node, m_listening.activeTime(), now, commands))
+            peer.m_sentSummaries.clear();
     }
 }
 
@@ -225,14 +226,14 @@
 {
     MembershipCommands commands;
     for (auto &[node, peer] : m_peers)
-        peer.m_watch.setListed(false);
+        peer.m_tracker.setListed(false);
     for (const ListedNode &entry : listed) {
         if (entry.m_identity.m_node == self().m_node)
             continue;
         Peer &peer = ensure(entry.m_identity, now);
-        peer.m_watch.setListed(true);
+        peer.m_tracker.setListed(true);
         if (entry.m_leaving)
-            peer.m_watch.leave("the VM list says leaving", now, commands);
+            peer.m_tracker.leave("the VM list says leaving", now, commands);
     }
     return commands;
 }
@@ -242,7 +243,7 @@
     MembershipCommands commands;
     const auto found = m_peers.find(node);
     if (found != m_peers.end())
-        found->second.m_watch.leave(std::move(reason), now, commands);
+        found->second.m_tracker.leave(std::move(reason), now, commands);
     return commands;
 }
 
@@ -251,7 +252,7 @@
     const auto found = m_peers.find(node);
     if (found == m_peers.end())
         return;
-    const DataCentreId &dataCentre = found->second.m_watch.identity().m_dataCentre;
+    const DataCentreId &dataCentre = found->second.m_tracker.identity().m_dataCentre;
     if (!isOwn(dataCentre))
         m_links[dataCentre].fail();
 }
@@ -271,15 +272,15 @@
 {
     MembershipMessage message = baseMessage();
     for (const auto &[node, other] : m_peers) {
-        const NodeWatch &watch = other.m_watch;
+        const NodeStateTracker &watch = other.m_tracker;
         const bool isSilent = watch.isDead()
-                              || watch.silence(m_listening.listened())
+                              || watch.silence(m_listening.activeTime())
                                          >= m_settings.m_suspectAfter * m_pace.interval();
         if (isSilent && isOwn(watch.identity().m_dataCentre))
             message.m_suspicions.push_back({node, watch.identity().m_incarnation, watch.isDead()});
     }
     attachNodes(peer, message, now);
-    message.m_summaries = m_summaries.newsFor(peer.m_spread);
+    message.m_summaries = m_summaries.unsentFor(peer.m_sentSummaries);
     return message;
 }
 
@@ -309,8 +310,8 @@
                                       : messageAcross(sender.m_dataCentre, wallNow);
     // A process whose incarnation is not above one already seen, as after its clock was set back,
     // would never be heard: this makes it raise its own.
-    const Incarnation known = peer.m_watch.identity().m_incarnation;
-    if (sender.m_incarnation < known || peer.m_watch.isDead())
+    const Incarnation known = peer.m_tracker.identity().m_incarnation;
+    if (sender.m_incarnation < known || peer.m_tracker.isDead())
         reply.m_suspicions.push_back({sender.m_node, known, true});
     return reply;
 }
@@ -319,8 +320,8 @@
 {
     const std::vector<NodeId> duties = dutyNodes();
     for (const DataCentreId &dataCentre : otherDataCentres()) {
-        SummaryLink &link = m_links[dataCentre];
-        if (!link.takeTurn(m_settings.m_summaryInterval, now))
+        SummarySender &link = m_links[dataCentre];
+        if (!link.startIfDue(m_settings.m_summaryInterval, now))
             continue;
         if (!isRendezvousChoice(summaryKey(dataCentre), duties, 1, self().m_node))
             continue;
@@ -332,11 +333,11 @@
 }
 
 std::optional<NodeIdentity> Membership::summaryTarget(const DataCentreId &dataCentre,
-                                                      const SummaryLink &link) const
+                                                      const SummarySender &link) const
 {
     std::vector<NodeId> names;
     for (const auto &[node, peer] : m_peers) {
-        const NodeView &view = peer.m_watch.view();
+        const NodeView &view = peer.m_tracker.view();
         const bool isThere = view.m_identity.m_dataCentre == dataCentre;
         if (isThere && view.m_state != NodeState::Dead)
             names.push_back(node);
@@ -346,18 +347,18 @@
     const std::string key = summaryKey(self().m_dataCentre);
     const std::vector<NodeId> ranked = rendezvousChoice(key, names, names.size());
     const NodeId &chosen = ranked[link.failures() % ranked.size()];
-    return m_peers.at(chosen).m_watch.identity();
+    return m_peers.at(chosen).m_tracker.identity();
 }
 
 MembershipMessage Membership::messageAcross(const DataCentreId &dataCentre, WallMillis wallNow)
 {
     MembershipMessage message = baseMessage();
     message.m_summaries.push_back(ownSummary(m_links[dataCentre], wallNow));
-    message.m_heldNodesDigest = m_summaries.nodesDigest(dataCentre);
+    message.m_receiverNodesDigest = m_summaries.nodesDigest(dataCentre);
     return message;
 }
 
-DataCentreSummary Membership::ownSummary(SummaryLink &link, WallMillis wallNow) const
+DataCentreSummary Membership::ownSummary(SummarySender &link, WallMillis wallNow) const
 {
     DataCentreSummary summary;
     summary.m_dataCentre = self().m_dataCentre;
@@ -366,7 +367,7 @@
     summary.m_services = m_services;
     const std::vector<NodeIdentity> nodes = ownNodes();
     summary.m_nodesDigest = digestOf(nodes);
-    if (link.bringsNodes(summary.m_nodesDigest, m_settings.m_summariesPerNodeList))
+    if (link.includesNodeList(summary.m_nodesDigest, m_settings.m_summariesPerNodeList))
         summary.m_nodes = nodes;
     return summary;
 }
@@ -377,8 +378,8 @@
     if (!m_isDraining)
         nodes.push_back(self());
     for (const auto &[node, peer] : m_peers) {
-        if (peer.m_watch.isOpen() && isOwn(peer.m_watch.identity().m_dataCentre))
-            nodes.push_back(peer.m_watch.identity());
+        if (peer.m_tracker.isOpen() && isOwn(peer.m_tracker.identity().m_dataCentre))
+            nodes.push_back(peer.m_tracker.identity());
     }
     return nodes;
 }
@@ -390,8 +391,8 @@
     std::vector<NodeView> own;
     std::vector<NodeView> others;
     for (const auto &[node, peer] : m_peers) {
-        const bool isHere = isOwn(peer.m_watch.identity().m_dataCentre);
-        (isHere ? own : others).push_back(peer.m_watch.view());
+        const bool isHere = isOwn(peer.m_tracker.identity().m_dataCentre);
+        (isHere ? own : others).push_back(peer.m_tracker.view());
     }
     own.insert(own.end(), others.begin(), others.end());
     return own;
@@ -400,7 +401,7 @@
 const NodeView *Membership::find(const NodeId &node) const
 {
     const auto found = m_peers.find(node);
-    return found == m_peers.end() ? nullptr : &found->second.m_watch.view();
+    return found == m_peers.end() ? nullptr : &found->second.m_tracker.view();
 }
 
 std::vector<NodeId> Membership::dutyNodes() const
@@ -409,21 +410,21 @@
     std::vector<NodeId> leaving;
     (m_isDraining ? leaving : staying).push_back(self().m_node);
     for (const auto &[node, peer] : m_peers) {
-        if (!isOwn(peer.m_watch.identity().m_dataCentre))
+        if (!isOwn(peer.m_tracker.identity().m_dataCentre))
             continue;
-        if (peer.m_watch.isAlive())
-            (peer.m_watch.isLeaving() ? leaving : staying).push_back(node);
+        if (peer.m_tracker.isAlive())
+            (peer.m_tracker.isLeaving() ? leaving : staying).push_back(node);
     }
     std::vector<NodeId> &chosen = staying.empty() ? leaving : staying;
     std::sort(chosen.begin(), chosen.end());
     return chosen;
 }
 
-std::vector<NodeIdentity> Membership::openNodes(const DataCentreId &dataCentre) const
+std::vector<NodeIdentity> Membership::availableNodes(const DataCentreId &dataCentre) const
 {
     std::vector<NodeIdentity> result;
     for (const auto &[node, peer] : m_peers) {
-        const NodeView &view = peer.m_watch.view();
+        const NodeView &view = peer.m_tracker.view();
         const bool isThere = view.m_identity.m_dataCentre == dataCentre;
         if (isThere && view.isOpen())
             result.push_back(view.m_identity);
@@ -435,7 +436,7 @@
 {
     std::set<DataCentreId> found;
     for (const auto &[node, peer] : m_peers) {
-        const DataCentreId &dataCentre = peer.m_watch.identity().m_dataCentre;
+        const DataCentreId &dataCentre = peer.m_tracker.identity().m_dataCentre;
         if (!isOwn(dataCentre) && !dataCentre.isEmpty())
             found.insert(dataCentre);
     }
--- a/src/fleet/node_watch.cpp
+++ b/src/fleet/node_watch.cpp
@@ -16,8 +16,8 @@
 
 } // namespace
 
-NodeWatch::NodeWatch(const NodeIdentity &identity, Duration listened, TimePoint now)
-    : m_heardAt(listened)
+NodeStateTracker::NodeStateTracker(const NodeIdentity &identity, Duration activeTime, TimePoint now)
+    : m_heardAt(activeTime)
 {
     m_view.m_identity = identity;
     // Only a node's own heartbeat or its data centre's summary tells its incarnation.
@@ -26,14 +26,14 @@
     m_view.m_reason = "not heard yet";
 }
 
-void NodeWatch::setState(NodeState state, std::string reason, TimePoint now,
-                         MembershipCommands &commands)
+void NodeStateTracker::setState(NodeState state, std::string reason, TimePoint now,
+                                MembershipCommands &commands)
 {
     set(state, m_view.m_isLeaving, std::move(reason), now, commands);
 }
 
-void NodeWatch::set(NodeState state, bool isLeaving, std::string reason, TimePoint now,
-                    MembershipCommands &commands)
+void NodeStateTracker::set(NodeState state, bool isLeaving, std::string reason, TimePoint now,
+                           MembershipCommands &commands)
 {
     if (m_view.m_state == state && m_view.m_isLeaving == isLeaving)
         return;
@@ -48,43 +48,44 @@
 
 /// Leaving ends with the process. A notice may come before the first heartbeat: it concerns the
 /// process that then appears.
-bool NodeWatch::staysLeaving(bool isNewProcess) const
+bool NodeStateTracker::staysLeaving(bool isNewProcess) const
 {
     const bool isUnheard = m_view.m_identity.m_incarnation == 0;
     return m_view.m_isLeaving && (!isNewProcess || isUnheard);
 }
 
-HeartbeatNews NodeWatch::hear(const MembershipMessage &message, Duration listened, TimePoint now,
-                              MembershipCommands &commands)
+HeartbeatFreshness NodeStateTracker::recordHeartbeat(const MembershipMessage &message,
+                                                     Duration activeTime, TimePoint now,
+                                                     MembershipCommands &commands)
 {
     const Incarnation incarnation = message.m_from.m_incarnation;
     if (incarnation < m_view.m_identity.m_incarnation)
-        return HeartbeatNews::None;
+        return HeartbeatFreshness::None;
     const bool isNewProcess = incarnation > m_view.m_identity.m_incarnation;
     // Dead holds for the incarnation. Its jobs may have been taken over; were it simply alive
     // again, it would go on with them. The answer tells it, and it comes back with a higher one.
     if (!isNewProcess && isDead())
-        return HeartbeatNews::None;
+        return HeartbeatFreshness::None;
     if (!isNewProcess && message.m_sequence <= m_sequence)
-        return HeartbeatNews::None;
+        return HeartbeatFreshness::None;
 
     const bool hasBegunDraining = message.m_draining && !m_view.m_isLeaving;
     const bool isLeaving = message.m_draining || staysLeaving(isNewProcess);
     m_view.m_identity = message.m_from;
-    m_view.m_lastHeard = now;
+    m_view.m_lastReceivedAt = now;
     m_sequence = message.m_sequence;
-    m_heardAt = listened;
+    m_heardAt = activeTime;
     m_lastExchange = now;
     m_suspicions = message.m_suspicions;
     const char *const reason = hasBegunDraining ? "it is draining"
                                : isNewProcess   ? "started"
                                                 : "heard";
     set(NodeState::Alive, isLeaving, reason, now, commands);
-    return isNewProcess ? HeartbeatNews::FromNewProcess : HeartbeatNews::Fresh;
+    return isNewProcess ? HeartbeatFreshness::FromNewProcess : HeartbeatFreshness::Fresh;
 }
 
-bool NodeWatch::hearOf(const NodeIdentity &identity, Duration listened, TimePoint now,
-                       MembershipCommands &commands)
+bool NodeStateTracker::recordSummaryEntry(const NodeIdentity &identity, Duration activeTime,
+                                          TimePoint now, MembershipCommands &commands)
 {
     const Incarnation known = m_view.m_identity.m_incarnation;
     if (identity.m_incarnation < known || (isDead() && identity.m_incarnation == known))
@@ -97,13 +98,13 @@
         m_sequence = 0;
     const bool isLeaving = staysLeaving(isNewProcess);
     m_view.m_identity = identity;
-    m_view.m_lastHeard = now;
-    m_heardAt = listened;
+    m_view.m_lastReceivedAt = now;
+    m_heardAt = activeTime;
     set(NodeState::Alive, isLeaving, "in its data centre's summary", now, commands);
     return isNewProcess;
 }
 
-bool NodeWatch::suspects(const NodeIdentity &other) const
+bool NodeStateTracker::suspects(const NodeIdentity &other) const
 {
     return std::any_of(m_suspicions.begin(), m_suspicions.end(),
                        [&](const NodeSuspicion &suspicion) {
@@ -112,34 +113,34 @@
                        });
 }
 
-void NodeWatch::setListed(bool isListed)
+void NodeStateTracker::setListed(bool isListed)
 {
     m_isListed = isListed;
     m_wasListed = m_wasListed || isListed;
 }
 
-void NodeWatch::leave(std::string reason, TimePoint now, MembershipCommands &commands)
+void NodeStateTracker::leave(std::string reason, TimePoint now, MembershipCommands &commands)
 {
     if (!isDead())
         set(m_view.m_state, true, std::move(reason), now, commands);
 }
 
-void NodeWatch::judge(Duration suspectAfter, Duration listened, TimePoint now,
-                      MembershipCommands &commands)
+void NodeStateTracker::detectSilence(Duration suspectAfter, Duration activeTime, TimePoint now,
+                                     MembershipCommands &commands)
 {
-    if (isDead() || silence(listened) < suspectAfter)
+    if (isDead() || silence(activeTime) < suspectAfter)
         return;
-    const std::string text = silentFor(silence(listened));
+    const std::string text = silentFor(silence(activeTime));
     if (isUnlisted())
         setState(NodeState::Dead, text + " and no longer in the VM list", now, commands);
     else if (isAlive())
         setState(NodeState::Suspect, text, now, commands);
 }
 
-void NodeWatch::judgeElsewhere(Duration suspectAfter, Duration listened, TimePoint now,
-                               MembershipCommands &commands)
+void NodeStateTracker::detectRemoteSilence(Duration suspectAfter, Duration activeTime,
+                                           TimePoint now, MembershipCommands &commands)
 {
-    if (isDead() || silence(listened) < suspectAfter)
+    if (isDead() || silence(activeTime) < suspectAfter)
         return;
     if (isUnlisted())
         setState(NodeState::Dead, "no longer in the VM list", now, commands);
@@ -147,10 +148,10 @@
         setState(NodeState::Suspect, "no word from its data centre", now, commands);
 }
 
-void NodeWatch::confirmDead(const NodeId &witness, Duration listened, TimePoint now,
-                            MembershipCommands &commands)
+void NodeStateTracker::confirmDead(const NodeId &witness, Duration activeTime, TimePoint now,
+                                   MembershipCommands &commands)
 {
-    const std::string text = silentFor(silence(listened));
+    const std::string text = silentFor(silence(activeTime));
     setState(NodeState::Dead, text + ", and " + witness.text() + " cannot hear it either", now,
              commands);
 }
--- a/src/fleet/notice_book.cpp
+++ b/src/fleet/notice_book.cpp
@@ -30,24 +30,24 @@
 
 } // namespace
 
-NoticeBook::NoticeBook(Duration listLag, Duration retention)
+NoticeTable::NoticeTable(Duration listLag, Duration retention)
     : m_listLag(listLag)
     , m_retention(retention)
 {}
 
-NoticeNews NoticeBook::take(const LeavingNotice &notice, TimePoint now, WallMillis wallNow)
+NoticeStatus NoticeTable::take(const LeavingNotice &notice, TimePoint now, WallMillis wallNow)
 {
     if (m_kept.contains(notice.m_id) || m_expired.contains(notice.m_id))
-        return NoticeNews::Known;
+        return NoticeStatus::Known;
     const TimePoint deadline = now + untilDeadline(notice, wallNow);
     m_kept.emplace(notice.m_id, Kept{notice, deadline + m_listLag, deadline + m_retention});
     m_digest ^= hashOf(notice.m_id);
     const auto lag = std::chrono::duration_cast<std::chrono::milliseconds>(m_listLag);
     const bool isLate = notice.m_deadline != 0 && wallNow - notice.m_deadline > lag.count();
-    return isLate ? NoticeNews::Late : NoticeNews::Fresh;
+    return isLate ? NoticeStatus::Late : NoticeStatus::Fresh;
 }
 
-void NoticeBook::expire(TimePoint now)
+void NoticeTable::expire(TimePoint now)
 {
     for (auto entry = m_kept.begin(); entry != m_kept.end();) {
         if (now < entry->second.m_expiresAt) {
@@ -61,7 +61,7 @@
     std::erase_if(m_expired, [&](const auto &entry) { return now >= entry.second; });
 }
 
-std::vector<LeavingNotice> NoticeBook::all() const
+std::vector<LeavingNotice> NoticeTable::all() const
 {
     std::vector<LeavingNotice> result;
     for (const auto &[id, kept] : m_kept)
@@ -69,10 +69,10 @@
     return result;
 }
 
-std::vector<NoticeConcern> NoticeBook::concerning(const UpstreamDeclaration &declaration,
-                                                  TimePoint now) const
+std::vector<NoticeEffect> NoticeTable::effectsOn(const UpstreamDeclaration &declaration,
+                                                 TimePoint now) const
 {
-    std::vector<NoticeConcern> result;
+    std::vector<NoticeEffect> result;
     for (const auto &[id, kept] : m_kept) {
         const LeavingNotice &notice = kept.m_notice;
         if (isNamedBy(notice, declaration)) {
--- a/src/fleet/owner_word.cpp
+++ b/src/fleet/owner_word.cpp
@@ -23,8 +23,8 @@
 
 } // namespace
 
-bool OwnerWord::speak(OwnerRank rank, UpstreamState state, const UpstreamLoad &load,
-                      Duration interval, Duration probeInterval, TimePoint now)
+bool ObservationSchedule::recordIfDue(OwnerRank rank, UpstreamState state, const UpstreamLoad &load,
+                                      Duration interval, Duration probeInterval, TimePoint now)
 {
     const bool isFirstSilent =
             now - m_firstOwnerSpokeAt > firstOwnerSilence * std::max(probeInterval, interval);
--- a/src/fleet/peer_codec.cpp
+++ b/src/fleet/peer_codec.cpp
@@ -276,7 +276,7 @@
     heartbeat.sequence = message.m_sequence;
     heartbeat.draining = message.m_draining;
     heartbeat.nodesDigest = message.m_nodesDigest;
-    heartbeat.heldNodesDigest = message.m_heldNodesDigest;
+    heartbeat.heldNodesDigest = message.m_receiverNodesDigest;
     if (message.m_nodes)
         heartbeat.__set_nodes(toWire(*message.m_nodes));
     for (const gypsumdale::NodeSuspicion &suspicion : message.m_suspicions) {
@@ -302,7 +302,7 @@
     message.m_sequence = heartbeat.sequence;
     message.m_draining = heartbeat.draining;
     message.m_nodesDigest = heartbeat.nodesDigest;
-    message.m_heldNodesDigest = heartbeat.heldNodesDigest;
+    message.m_receiverNodesDigest = heartbeat.heldNodesDigest;
     if (heartbeat.__isset.nodes)
         message.m_nodes = fromWire(heartbeat.nodes, heartbeat.dataCentre, heartbeat.region);
     for (const NodeSuspicion &item : heartbeat.suspicions)
--- a/src/fleet/peer_exchange.cpp
+++ b/src/fleet/peer_exchange.cpp
@@ -164,7 +164,7 @@
 {
     const NodeId node(heartbeat.node);
     commands.push_back(
-            ConfigDigestSeen{node, DataCentreId(heartbeat.dataCentre), heartbeat.config});
+            ConfigDigestReceived{node, DataCentreId(heartbeat.dataCentre), heartbeat.config});
     repairNotices(heartbeat, now, commands);
     if (isOwnDataCentre(heartbeat.dataCentre))
         takeDifferences(heartbeat, now, commands);
@@ -253,13 +253,13 @@
 ExchangeCommands PeerExchange::onNotices(const std::vector<LeavingNotice> &notices, TimePoint now,
                                          WallMillis wallNow)
 {
-    return takeNotices(notices, NoticeSource::Here, now, wallNow);
+    return takeNotices(notices, NoticeSource::Local, now, wallNow);
 }
 
 ExchangeCommands PeerExchange::onNotice(const LeavingNotice &notice, TimePoint now,
                                         WallMillis wallNow)
 {
-    return takeNotices({notice}, NoticeSource::Here, now, wallNow);
+    return takeNotices({notice}, NoticeSource::Local, now, wallNow);
 }
 
 ExchangeCommands PeerExchange::drainUpstream(const UpstreamId &upstream, TimePoint now,
@@ -280,11 +280,12 @@
     return commands;
 }
 
-ExchangeCommands PeerExchange::setStatic(const std::vector<UpstreamDeclaration> &declared,
-                                         TimePoint now)
+ExchangeCommands
+PeerExchange::setConfiguredUpstreams(const std::vector<UpstreamDeclaration> &declared,
+                                     TimePoint now)
 {
     ExchangeCommands commands;
-    forward(m_upstreams.setStatic(declared, now), commands);
+    forward(m_upstreams.setConfiguredUpstreams(declared, now), commands);
     return commands;
 }
 
@@ -332,7 +333,7 @@
             },
             [&](NodeStateChanged &change) {
                 if (change.m_state == NodeState::Dead)
-                    m_upstreams.forgetReports(change.m_node);
+                    m_upstreams.removeReports(change.m_node);
                 commands.push_back(std::move(change));
             },
             [&](OwnIncarnationRaised &raised) { commands.push_back(raised); },
@@ -347,7 +348,7 @@
     std::vector<LeavingNotice> toOwn;
     const auto visitor = Overloaded{
             [&](ProbeUpstream &probe) { commands.push_back(std::move(probe)); },
-            [&](SpreadNotice &spreading) {
+            [&](ForwardNotice &spreading) {
                 auto &list = spreading.m_toOtherDataCentres ? toAll : toOwn;
                 list.push_back(std::move(spreading.m_notice));
             },
@@ -376,7 +377,7 @@
     const std::string &key = notices.front().m_id;
     for (const DataCentreId &dataCentre : m_membership.otherDataCentres()) {
         std::vector<NodeId> names;
-        for (const NodeIdentity &node : m_membership.openNodes(dataCentre))
+        for (const NodeIdentity &node : m_membership.availableNodes(dataCentre))
             names.push_back(node.m_node);
         for (const NodeId &node : rendezvousChoice(key, names, noticeTargetsPerDataCentre))
             commands.push_back(SendToPeer{m_membership.find(node)->m_identity, body});
--- a/src/fleet/probe_duty.cpp
+++ b/src/fleet/probe_duty.cpp
@@ -19,7 +19,7 @@
 ProbeDuty::ProbeDuty(const UpstreamTableSettings &settings)
     : m_nodes({settings.m_self})
     , m_owners(settings.m_owners)
-    , m_fewNodes(settings.m_fewNodes)
+    , m_fullMeshLimit(settings.m_fullMeshLimit)
     , m_shortest(settings.m_probeInterval)
     , m_longest(settings.m_longestProbeInterval)
     , m_probesPerSecond(settings.m_probesPerSecond)
--- a/src/fleet/route_scope.cpp
+++ b/src/fleet/route_scope.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-RouteScope chooseRouteScope(const OwnRoom &own, const ServiceId &service, RemoteScope scope,
+RouteScope chooseRouteScope(const OwnCapacity &own, const ServiceId &service, RemoteScope scope,
                             const std::map<DataCentreId, ReceivedSummary> &summaries,
                             Duration longestAge, TimePoint now)
 {
@@ -40,13 +40,13 @@
     if (staysHere || (own.m_hasOpen && scope == RemoteScope::Never))
         return RouteOwn{};
     if (scope == RemoteScope::Never)
-        return RouteNowhere{"no upstream here, and settings forbid other data centres"};
+        return RouteUnavailable{"no upstream here, and settings forbid other data centres"};
 
     std::vector<DataCentreId> others = withRoom(service, summaries, longestAge, now);
     if (others.empty() && own.m_hasOpen)
         return RouteOwn{};
     if (others.empty())
-        return RouteNowhere{"no upstream here, and no other data centre has room"};
+        return RouteUnavailable{"no upstream here, and no other data centre has room"};
     return RouteRemote{std::move(others)};
 }
 
--- a/src/fleet/summary_book.cpp
+++ b/src/fleet/summary_book.cpp
@@ -20,11 +20,11 @@
 
 } // namespace
 
-SummaryBook::SummaryBook(Duration freshFor)
+SummaryTable::SummaryTable(Duration freshFor)
     : m_freshFor(freshFor)
 {}
 
-bool SummaryBook::take(const DataCentreSummary &summary, SummarySource source, TimePoint now)
+bool SummaryTable::take(const DataCentreSummary &summary, SummarySource source, TimePoint now)
 {
     ReceivedSummary &held = m_held[summary.m_dataCentre];
     // A sender whose clock runs ahead must not shut out the others for longer than this.
@@ -36,32 +36,32 @@
     held.m_summary = summary;
     held.m_summary.m_nodes = std::move(nodes);
     held.m_receivedAt = now;
-    if (source == SummarySource::ItsDataCentre)
+    if (source == SummarySource::DescribedDataCentre)
         m_toSpread.insert(summary.m_dataCentre);
     else
         m_toSpread.erase(summary.m_dataCentre);
     return true;
 }
 
-bool SummaryBook::isHeard(const DataCentreId &dataCentre, TimePoint now) const
+bool SummaryTable::isReachable(const DataCentreId &dataCentre, TimePoint now) const
 {
     const auto held = m_held.find(dataCentre);
     return held != m_held.end() && now - held->second.m_receivedAt < m_freshFor;
 }
 
-std::int64_t SummaryBook::nodesDigest(const DataCentreId &dataCentre) const
+std::int64_t SummaryTable::nodesDigest(const DataCentreId &dataCentre) const
 {
     const auto held = m_held.find(dataCentre);
     const bool hasList = held != m_held.end() && held->second.m_summary.m_nodes;
     return hasList ? digestOf(*held->second.m_summary.m_nodes) : 0;
 }
 
-std::vector<DataCentreSummary> SummaryBook::newsFor(SpreadRecord &told) const
+std::vector<DataCentreSummary> SummaryTable::unsentFor(SentSummaries &told) const
 {
     std::vector<DataCentreSummary> news;
     for (const DataCentreId &dataCentre : m_toSpread) {
         const ReceivedSummary &held = m_held.at(dataCentre);
-        SpreadTimes &sent = told[dataCentre];
+        SentSummaryTimes &sent = told[dataCentre];
         const bool isListNew = held.m_nodesMadeAt != sent.m_nodesMadeAt;
         if (held.m_summary.m_madeAt == sent.m_madeAt && !isListNew)
             continue;
@@ -73,7 +73,7 @@
     return news;
 }
 
-bool SummaryLink::takeTurn(Duration interval, TimePoint now)
+bool SummarySender::startIfDue(Duration interval, TimePoint now)
 {
     const bool isFirst = m_lastSent == TimePoint();
     if (!isFirst && now - m_lastSent < interval)
@@ -82,7 +82,7 @@
     return true;
 }
 
-bool SummaryLink::bringsNodes(std::int64_t digest, int summariesPerNodeList)
+bool SummarySender::includesNodeList(std::int64_t digest, int summariesPerNodeList)
 {
     ++m_sinceNodeList;
     const bool isHeldThere = m_heldThere == digest;
--- a/src/fleet/upstream_set.cpp
+++ b/src/fleet/upstream_set.cpp
@@ -39,12 +39,12 @@
     return found == m_byKey.end() ? nullptr : find(found->second);
 }
 
-UpstreamEntry &UpstreamSet::insert(const UpstreamDeclaration &declaration, UpstreamPlace place,
+UpstreamEntry &UpstreamSet::insert(const UpstreamDeclaration &declaration, UpstreamLocality place,
                                    TimePoint now)
 {
     UpstreamEntry &entry = m_entries[declaration.m_upstream];
     entry.m_key = upstreamKey(declaration.m_upstream);
-    entry.m_watch = UpstreamWatch(declaration, place, now);
+    entry.m_tracker = UpstreamStateTracker(declaration, place, now);
     m_byKey.try_emplace(entry.m_key, declaration.m_upstream);
     m_byService[{declaration.m_service, declaration.m_dataCentre}].insert(declaration.m_upstream);
     return entry;
@@ -52,9 +52,9 @@
 
 void UpstreamSet::redeclare(UpstreamEntry &entry, const UpstreamDeclaration &declaration)
 {
-    const UpstreamDeclaration &held = entry.m_watch.view().m_declaration;
+    const UpstreamDeclaration &held = entry.m_tracker.view().m_declaration;
     m_byService[{held.m_service, held.m_dataCentre}].erase(held.m_upstream);
-    entry.m_watch.redeclare(declaration);
+    entry.m_tracker.redeclare(declaration);
     m_byService[{declaration.m_service, declaration.m_dataCentre}].insert(declaration.m_upstream);
 }
 
@@ -62,7 +62,7 @@
 {
     const auto found = m_entries.find(upstream);
     const UpstreamEntry &entry = found->second;
-    const UpstreamDeclaration &declaration = entry.m_watch.view().m_declaration;
+    const UpstreamDeclaration &declaration = entry.m_tracker.view().m_declaration;
     const ServiceGroup group{declaration.m_service, declaration.m_dataCentre};
     m_byService[group].erase(upstream);
     if (m_byService[group].empty())
@@ -78,7 +78,7 @@
     std::vector<UpstreamView> result;
     for (const auto &[group, upstreams] : m_byService) {
         for (const UpstreamId &upstream : upstreams)
-            result.push_back(m_entries.at(upstream).m_watch.view());
+            result.push_back(m_entries.at(upstream).m_tracker.view());
     }
     return result;
 }
@@ -116,9 +116,10 @@
     return result;
 }
 
-OwnRoom UpstreamSet::roomOf(const ServiceId &service, const DataCentreId &dataCentre) const
+OwnCapacity UpstreamSet::openCapacityOf(const ServiceId &service,
+                                        const DataCentreId &dataCentre) const
 {
-    OwnRoom room;
+    OwnCapacity room;
     forEachCandidate(service, dataCentre, [&](const UpstreamView &view) {
         room.m_hasOpen = true;
         if (view.m_state != UpstreamState::Live)
--- a/src/fleet/upstream_table.cpp
+++ b/src/fleet/upstream_table.cpp
@@ -25,9 +25,9 @@
 
 // --- entries ----------------------------------------------------------------------------------
 
-UpstreamPlace UpstreamTable::placeOf(const UpstreamDeclaration &declaration) const
+UpstreamLocality UpstreamTable::placeOf(const UpstreamDeclaration &declaration) const
 {
-    return isHere(declaration) ? UpstreamPlace::Here : UpstreamPlace::Elsewhere;
+    return isHere(declaration) ? UpstreamLocality::Local : UpstreamLocality::Remote;
 }
 
 void UpstreamTable::remove(const UpstreamId &upstream)
@@ -40,8 +40,9 @@
     m_entries.erase(upstream);
 }
 
-UpstreamCommands UpstreamTable::setStatic(const std::vector<UpstreamDeclaration> &declared,
-                                          TimePoint now)
+UpstreamCommands
+UpstreamTable::setConfiguredUpstreams(const std::vector<UpstreamDeclaration> &declared,
+                                      TimePoint now)
 {
     UpstreamCommands commands;
     std::set<UpstreamId> named;
@@ -55,7 +56,7 @@
             dropped.push_back(upstream);
     }
     for (const UpstreamId &upstream : dropped) {
-        m_entries.find(upstream)->m_watch.drop(now, commands);
+        m_entries.find(upstream)->m_tracker.drop(now, commands);
         remove(upstream);
     }
     return commands;
@@ -65,7 +66,7 @@
                                       UpstreamCommands &commands)
 {
     if (UpstreamEntry *held = m_entries.find(declaration.m_upstream)) {
-        if (held->m_watch.view().m_declaration != declaration) {
+        if (held->m_tracker.view().m_declaration != declaration) {
             m_entries.redeclare(*held, declaration);
             chooseOwners(*held);
         }
@@ -85,27 +86,27 @@
         m_duty.remove();
     entry.m_isOwned = false;
     entry.m_owners = {};
-    const UpstreamDeclaration &declaration = entry.m_watch.view().m_declaration;
+    const UpstreamDeclaration &declaration = entry.m_tracker.view().m_declaration;
     if (!isHere(declaration))
         return;
     entry.m_owners = m_duty.ownersOf(declaration.m_upstream);
     entry.m_isOwned = entry.m_owners.includes(m_settings.m_self);
     if (entry.m_isOwned)
         m_duty.add();
-    entry.m_watch.keepSuspicionsOf(entry.m_owners.nodes());
+    entry.m_tracker.retainSuspicionsOf(entry.m_owners.nodes());
 }
 
 void UpstreamTable::setNodes(const std::vector<NodeId> &nodes)
 {
-    const bool wasSmall = m_duty.isSmall();
+    const bool wasSmall = m_duty.isFullMesh();
     if (!m_duty.setNodes(nodes))
         return;
-    const bool isSizeNew = wasSmall != m_duty.isSmall();
+    const bool isSizeNew = wasSmall != m_duty.isFullMesh();
     for (auto &[upstream, entry] : m_entries) {
         chooseOwners(entry);
         // A new owner does not know what this node has there; nor, when the data centre shrank to a
         // small one, do the nodes that were not told before.
-        if (entry.m_watch.view().m_ownInFlight > 0 || isSizeNew)
+        if (entry.m_tracker.view().m_ownInFlight > 0 || isSizeNew)
             m_inFlightChanges.touch(entry.m_key);
     }
 }
@@ -130,16 +131,16 @@
         UpstreamEntry &entry = declare(declaration, now, commands);
         entry.m_isListed = true;
         entry.m_missedLists = 0;
-        if (!item.m_isLeaving || entry.m_watch.isVmLeaving())
+        if (!item.m_isLeaving || entry.m_tracker.isVmLeaving())
             continue;
         const LeavingNotice notice = listedLeavingNotice(declaration.m_vm);
-        UpstreamCommands noticed = onNotice(notice, NoticeSource::Here, now, wallNow);
+        UpstreamCommands noticed = onNotice(notice, NoticeSource::Local, now, wallNow);
         commands.insert(commands.end(), noticed.begin(), noticed.end());
     }
-    const TimePoint answeredSince = now - 2 * m_settings.m_shareInterval;
-    for (UpstreamEntry *missing : detail::takeMissing(m_entries, shown, answeredSince)) {
-        if (!missing->m_isStatic && missing->m_watch.view().m_state != UpstreamState::Gone)
-            missing->m_watch.delist(now, commands);
+    const TimePoint answeredSince = now - 2 * m_settings.m_reportInterval;
+    for (UpstreamEntry *missing : detail::recordMissingVms(m_entries, shown, answeredSince)) {
+        if (!missing->m_isStatic && missing->m_tracker.view().m_state != UpstreamState::Gone)
+            missing->m_tracker.markUnlisted(now, commands);
     }
     return commands;
 }
@@ -150,15 +151,15 @@
                                          TimePoint now, WallMillis wallNow)
 {
     UpstreamCommands commands;
-    const NoticeNews news = m_notices.take(notice, now, wallNow);
-    if (news == NoticeNews::Known)
+    const NoticeStatus news = m_notices.take(notice, now, wallNow);
+    if (news == NoticeStatus::Known)
         return commands;
     // After a long cut an old zone notice may arrive when the zone has new VMs; it is not for them.
-    if (news == NoticeNews::Late && notice.m_cause == LeavingCause::ZoneReclaim)
+    if (news == NoticeStatus::Late && notice.m_cause == LeavingCause::ZoneReclaim)
         return commands;
     applyNotice(notice, now, commands);
     if (source != NoticeSource::OwnDataCentre)
-        commands.push_back(SpreadNotice{notice, source == NoticeSource::Here});
+        commands.push_back(ForwardNotice{notice, source == NoticeSource::Local});
     return commands;
 }
 
@@ -167,27 +168,27 @@
 {
     if (!notice.m_upstream.isEmpty()) {
         if (UpstreamEntry *entry = m_entries.find(notice.m_upstream))
-            entry->m_watch.leave(notice, now, commands);
+            entry->m_tracker.leave(notice, now, commands);
         return;
     }
     for (auto &[upstream, entry] : m_entries) {
-        const UpstreamDeclaration &declaration = entry.m_watch.view().m_declaration;
+        const UpstreamDeclaration &declaration = entry.m_tracker.view().m_declaration;
         const bool isByVm = !notice.m_vm.isEmpty() && declaration.m_vm == notice.m_vm;
         const bool isByZone = notice.m_vm.isEmpty() && declaration.m_dataCentre == notice.m_zone;
         if (isByVm || isByZone)
-            entry.m_watch.leave(notice, now, commands);
+            entry.m_tracker.leave(notice, now, commands);
     }
 }
 
 void UpstreamTable::applyKeptNotices(UpstreamEntry &entry, TimePoint now,
                                      UpstreamCommands &commands)
 {
-    const UpstreamDeclaration &declaration = entry.m_watch.view().m_declaration;
-    for (const NoticeConcern &concern : m_notices.concerning(declaration, now)) {
+    const UpstreamDeclaration &declaration = entry.m_tracker.view().m_declaration;
+    for (const NoticeEffect &concern : m_notices.effectsOn(declaration, now)) {
         if (concern.m_heldUntil)
-            entry.m_watch.holdBack(*concern.m_heldUntil, now, commands);
+            entry.m_tracker.holdBack(*concern.m_heldUntil, now, commands);
         else
-            entry.m_watch.leave(concern.m_notice, now, commands);
+            entry.m_tracker.leave(concern.m_notice, now, commands);
     }
 }
 
@@ -196,8 +197,8 @@
     const UpstreamEntry *entry = m_entries.find(upstream);
     if (!entry)
         return {};
-    const Incarnation incarnation = entry->m_watch.view().m_load.m_incarnation;
-    return onNotice(drainNotice(upstream, incarnation, wallNow), NoticeSource::Here, now, wallNow);
+    const Incarnation incarnation = entry->m_tracker.view().m_load.m_incarnation;
+    return onNotice(drainNotice(upstream, incarnation, wallNow), NoticeSource::Local, now, wallNow);
 }
 
 void UpstreamTable::forgetOld(TimePoint now)
@@ -206,8 +207,8 @@
     std::vector<UpstreamId> old;
     for (const auto &[upstream, entry] : m_entries) {
         const bool isGone =
-                entry.m_watch.view().m_state == UpstreamState::Gone && !entry.m_isStatic;
-        const Duration age = now - entry.m_watch.view().m_stateSince;
+                entry.m_tracker.view().m_state == UpstreamState::Gone && !entry.m_isStatic;
+        const Duration age = now - entry.m_tracker.view().m_stateSince;
         if (isGone && !entry.m_isListed && age > m_settings.m_noticeRetention)
             old.push_back(upstream);
     }
@@ -222,11 +223,11 @@
 {
     UpstreamCommands commands;
     UpstreamEntry *entry = m_entries.find(upstream);
-    if (!entry || !entry->m_watch.takeLoad(load, now))
+    if (!entry || !entry->m_tracker.recordLoad(load, now))
         return commands;
     entry->m_failedProbes = 0;
-    entry->m_watch.trustBy(m_settings.m_self);
-    entry->m_watch.reviveIfHeard(now, commands);
+    entry->m_tracker.clearSuspicion(m_settings.m_self);
+    entry->m_tracker.recoverIfAnswered(now, commands);
     shareIfDue(*entry, now);
     return commands;
 }
@@ -244,7 +245,7 @@
     ++entry->m_failedProbes;
     if (entry->m_failedProbes < m_settings.m_suspectAfterFailures)
         return commands;
-    entry->m_watch.failProbes(m_settings.m_self, reason, now, commands);
+    entry->m_tracker.recordProbeFailure(m_settings.m_self, reason, now, commands);
     shareIfDue(*entry, now);
     return commands;
 }
@@ -256,7 +257,7 @@
     UpstreamEntry *entry = m_entries.find(upstream);
     if (!entry)
         return commands;
-    entry->m_watch.failRequest(reason, now + m_settings.m_failurePenalty, now, commands);
+    entry->m_tracker.recordRequestFailure(reason, now + m_settings.m_failurePenalty, now, commands);
     // An owner finds out at once whether the upstream or only the connection was lost.
     entry->m_nextProbe = std::min(entry->m_nextProbe, now);
     return commands;
@@ -266,7 +267,7 @@
 {
     UpstreamCommands commands;
     if (UpstreamEntry *entry = m_entries.find(upstream))
-        entry->m_watch.passRequest(now, commands);
+        entry->m_tracker.recordRequestSuccess(now, commands);
     return commands;
 }
 
@@ -276,11 +277,11 @@
 {
     if (!entry.m_isOwned)
         return;
-    const UpstreamState state = entry.m_watch.stateSeenBy(m_settings.m_self);
+    const UpstreamState state = entry.m_tracker.stateSeenBy(m_settings.m_self);
     const bool isFirst = entry.m_owners.isFirst(m_settings.m_self);
     const OwnerRank rank = isFirst ? OwnerRank::First : OwnerRank::Second;
-    if (entry.m_word.speak(rank, state, entry.m_watch.view().m_load, m_settings.m_shareInterval,
-                           m_duty.interval(), now))
+    if (entry.m_schedule.recordIfDue(rank, state, entry.m_tracker.view().m_load,
+                                     m_settings.m_reportInterval, m_duty.interval(), now))
         m_changes.touch(entry.m_key);
 }
 
@@ -294,10 +295,10 @@
         const UpstreamEntry &entry = m_entries.at(key);
         if (!entry.m_isOwned)
             continue;
-        const UpstreamView &view = entry.m_watch.view();
+        const UpstreamView &view = entry.m_tracker.view();
         UpstreamObservation observation;
         observation.m_key = key;
-        observation.m_state = entry.m_word.state();
+        observation.m_state = entry.m_schedule.state();
         observation.m_load = view.m_load;
         observation.m_totalInFlight = view.m_totalInFlight;
         observation.m_age = view.hasLoad() ? view.loadAge(now) : Duration::max();
@@ -315,35 +316,35 @@
         return commands;
     const bool isOwner = entry->m_owners.includes(from);
     if (entry->m_owners.isFirst(from))
-        entry->m_word.hearFirstOwner(now);
+        entry->m_schedule.recordFirstOwnerReport(now);
     // Leaving and gone travel as notices, which name their cause; here they say nothing.
     if (observation.m_state == UpstreamState::Suspect) {
         if (isOwner)
-            entry->m_watch.suspectBy(from);
+            entry->m_tracker.addSuspicion(from);
         return commands;
     }
-    entry->m_watch.trustBy(from);
+    entry->m_tracker.clearSuspicion(from);
     const bool hasAge = observation.m_age < now.time_since_epoch();
-    if (!hasAge || !entry->m_watch.takeLoad(observation.m_load, now - observation.m_age))
+    if (!hasAge || !entry->m_tracker.recordLoad(observation.m_load, now - observation.m_age))
         return commands;
     if (!entry->m_isOwned)
-        entry->m_watch.setInFlight(entry->m_watch.view().m_ownInFlight,
-                                   observation.m_totalInFlight);
-    entry->m_watch.reviveIfHeard(now, commands);
+        entry->m_tracker.setInFlight(entry->m_tracker.view().m_ownInFlight,
+                                     observation.m_totalInFlight);
+    entry->m_tracker.recoverIfAnswered(now, commands);
     return commands;
 }
 
 void UpstreamTable::setInFlight(const UpstreamId &upstream, int count)
 {
     UpstreamEntry *entry = m_entries.find(upstream);
-    if (!entry || entry->m_watch.view().m_ownInFlight == count)
+    if (!entry || entry->m_tracker.view().m_ownInFlight == count)
         return;
-    if (isHere(entry->m_watch.view().m_declaration))
+    if (isHere(entry->m_tracker.view().m_declaration))
         m_inFlightChanges.touch(entry->m_key);
     if (entry->m_isOwned)
         sumInFlight(*entry, count);
     else
-        entry->m_watch.setInFlight(count, entry->m_watch.view().m_totalInFlight);
+        entry->m_tracker.setInFlight(count, entry->m_tracker.view().m_totalInFlight);
 }
 
 std::vector<InFlightReport> UpstreamTable::inFlightFor(const NodeId &owner,
@@ -353,8 +354,8 @@
     const Changes<std::int64_t> changes = m_inFlightChanges.since(version, m_entries.size());
     for (const std::int64_t key : changes.m_keys) {
         const UpstreamEntry &entry = m_entries.at(key);
-        if (entry.m_owners.includes(owner) || m_duty.isSmall())
-            reports.push_back({key, entry.m_watch.view().m_ownInFlight});
+        if (entry.m_owners.includes(owner) || m_duty.isFullMesh())
+            reports.push_back({key, entry.m_tracker.view().m_ownInFlight});
     }
     return reports;
 }
@@ -365,21 +366,21 @@
     if (!entry)
         return;
     entry->m_inFlight.set(from, report.m_count);
-    sumInFlight(*entry, entry->m_watch.view().m_ownInFlight);
+    sumInFlight(*entry, entry->m_tracker.view().m_ownInFlight);
 }
 
-void UpstreamTable::forgetReports(const NodeId &node)
+void UpstreamTable::removeReports(const NodeId &node)
 {
     for (auto &[upstream, entry] : m_entries) {
-        entry.m_watch.trustBy(node);
+        entry.m_tracker.clearSuspicion(node);
         if (entry.m_inFlight.forget(node))
-            sumInFlight(entry, entry.m_watch.view().m_ownInFlight);
+            sumInFlight(entry, entry.m_tracker.view().m_ownInFlight);
     }
 }
 
 void UpstreamTable::sumInFlight(UpstreamEntry &entry, int own)
 {
-    entry.m_watch.setInFlight(own, own + entry.m_inFlight.sum());
+    entry.m_tracker.setInFlight(own, own + entry.m_inFlight.sum());
 }
 
 // --- time -------------------------------------------------------------------------------------
@@ -393,8 +394,8 @@
     const Duration interval = m_duty.interval();
     const SilenceLimits limits{m_settings.m_goneAfter, 2 * interval, m_settings.m_longestSilence};
     for (auto &[upstream, entry] : m_entries) {
-        const UpstreamPlace place = placeOf(entry.m_watch.view().m_declaration);
-        entry.m_watch.settle(place, entry.m_isListed, limits, now, wallNow, commands);
+        const UpstreamLocality place = placeOf(entry.m_tracker.view().m_declaration);
+        entry.m_tracker.updateByTime(place, entry.m_isListed, limits, now, wallNow, commands);
         if (entry.m_isOwned)
             probeIfDue(entry, interval, now, commands);
     }
@@ -407,7 +408,7 @@
 {
     if (now < entry.m_nextProbe)
         return;
-    const UpstreamView &view = entry.m_watch.view();
+    const UpstreamView &view = entry.m_tracker.view();
     const UpstreamDeclaration &declaration = view.m_declaration;
     const bool isGone = view.m_state == UpstreamState::Gone;
     if (isGone && !declaration.m_vm.isEmpty())
@@ -426,7 +427,7 @@
 const UpstreamView *UpstreamTable::find(const UpstreamId &upstream) const
 {
     const UpstreamEntry *entry = m_entries.find(upstream);
-    return entry ? &entry->m_watch.view() : nullptr;
+    return entry ? &entry->m_tracker.view() : nullptr;
 }
 
 std::vector<ServiceCapacity> UpstreamTable::capacity() const
@@ -438,7 +439,7 @@
                                      const std::map<DataCentreId, ReceivedSummary> &summaries,
                                      TimePoint now) const
 {
-    const OwnRoom room = m_entries.roomOf(service, m_settings.m_dataCentre);
+    const OwnCapacity room = m_entries.openCapacityOf(service, m_settings.m_dataCentre);
     return chooseRouteScope(room, service, m_settings.m_remoteScope, summaries,
                             m_settings.m_longestSummaryAge, now);
 }
--- a/src/fleet/upstream_watch.cpp
+++ b/src/fleet/upstream_watch.cpp
@@ -5,20 +5,20 @@
 
 namespace gypsumdale {
 
-UpstreamWatch::UpstreamWatch(const UpstreamDeclaration &declaration, UpstreamPlace place,
-                             TimePoint now)
+UpstreamStateTracker::UpstreamStateTracker(const UpstreamDeclaration &declaration,
+                                           UpstreamLocality place, TimePoint now)
 {
     m_view.m_declaration = declaration;
     m_view.m_stateSince = now;
     m_view.m_reason = "not heard yet";
-    if (place == UpstreamPlace::Here)
+    if (place == UpstreamLocality::Local)
         return;
     m_view.m_state = UpstreamState::Live;
     m_view.m_reason = "declared; its own data centre watches it";
 }
 
-void UpstreamWatch::setState(UpstreamState state, std::string reason, TimePoint now,
-                             UpstreamCommands &commands)
+void UpstreamStateTracker::setState(UpstreamState state, std::string reason, TimePoint now,
+                                    UpstreamCommands &commands)
 {
     if (m_view.m_state == state)
         return;
@@ -29,7 +29,7 @@
                                             m_view.m_deadline});
 }
 
-void UpstreamWatch::setInFlight(int own, int total)
+void UpstreamStateTracker::setInFlight(int own, int total)
 {
     m_view.m_ownInFlight = own;
     m_view.m_totalInFlight = total;
@@ -37,18 +37,19 @@
 
 // --- leaving ----------------------------------------------------------------------------------
 
-void UpstreamWatch::drop(TimePoint now, UpstreamCommands &commands)
+void UpstreamStateTracker::drop(TimePoint now, UpstreamCommands &commands)
 {
     setState(UpstreamState::Gone, "no longer in the settings", now, commands);
 }
 
-void UpstreamWatch::delist(TimePoint now, UpstreamCommands &commands)
+void UpstreamStateTracker::markUnlisted(TimePoint now, UpstreamCommands &commands)
 {
     m_isVmLeaving = true;
     setState(UpstreamState::Leaving, "the VM list no longer shows it", now, commands);
 }
 
-void UpstreamWatch::leave(const LeavingNotice &notice, TimePoint now, UpstreamCommands &commands)
+void UpstreamStateTracker::leave(const LeavingNotice &notice, TimePoint now,
+                                 UpstreamCommands &commands)
 {
     const bool isProcess =
             notice.m_cause == LeavingCause::OperatorDrain || m_view.m_declaration.m_vm.isEmpty();
@@ -70,7 +71,7 @@
              commands);
 }
 
-void UpstreamWatch::holdBack(TimePoint until, TimePoint now, UpstreamCommands &commands)
+void UpstreamStateTracker::holdBack(TimePoint until, TimePoint now, UpstreamCommands &commands)
 {
     m_heldUntil = std::max(m_heldUntil, until);
     setState(UpstreamState::Leaving, "appeared right after its zone's reclaim notice", now,
@@ -79,7 +80,7 @@
 
 // --- signs of life ----------------------------------------------------------------------------
 
-bool UpstreamWatch::takeLoad(const UpstreamLoad &load, TimePoint observedAt)
+bool UpstreamStateTracker::recordLoad(const UpstreamLoad &load, TimePoint observedAt)
 {
     const bool isOlderProcess = load.m_incarnation < m_view.m_load.m_incarnation;
     const bool isOlderWord =
@@ -92,7 +93,7 @@
     return true;
 }
 
-void UpstreamWatch::reviveIfRestarted(TimePoint now, UpstreamCommands &commands)
+void UpstreamStateTracker::reviveIfRestarted(TimePoint now, UpstreamCommands &commands)
 {
     if (!m_leavingIncarnation)
         return;
@@ -109,7 +110,7 @@
     setState(UpstreamState::Suspect, "started anew", now, commands);
 }
 
-void UpstreamWatch::reviveIfHeard(TimePoint now, UpstreamCommands &commands)
+void UpstreamStateTracker::recoverIfAnswered(TimePoint now, UpstreamCommands &commands)
 {
     reviveIfRestarted(now, commands);
     if (m_view.m_state == UpstreamState::Suspect && now >= m_penaltyUntil)
@@ -118,35 +119,35 @@
 
 // --- failures ---------------------------------------------------------------------------------
 
-UpstreamState UpstreamWatch::stateSeenBy(const NodeId &node) const
+UpstreamState UpstreamStateTracker::stateSeenBy(const NodeId &node) const
 {
     return m_suspectedBy.contains(node) ? UpstreamState::Suspect : m_view.m_state;
 }
 
-void UpstreamWatch::keepSuspicionsOf(const std::vector<NodeId> &nodes)
+void UpstreamStateTracker::retainSuspicionsOf(const std::vector<NodeId> &nodes)
 {
     std::erase_if(m_suspectedBy, [&](const NodeId &node) {
         return std::find(nodes.begin(), nodes.end(), node) == nodes.end();
     });
 }
 
-void UpstreamWatch::failProbes(const NodeId &self, const std::string &reason, TimePoint now,
-                               UpstreamCommands &commands)
+void UpstreamStateTracker::recordProbeFailure(const NodeId &self, const std::string &reason,
+                                              TimePoint now, UpstreamCommands &commands)
 {
     m_suspectedBy.insert(self);
     if (m_view.m_state == UpstreamState::Live)
         setState(UpstreamState::Suspect, "probes fail: " + reason, now, commands);
 }
 
-void UpstreamWatch::failRequest(const std::string &reason, TimePoint penaltyUntil, TimePoint now,
-                                UpstreamCommands &commands)
+void UpstreamStateTracker::recordRequestFailure(const std::string &reason, TimePoint penaltyUntil,
+                                                TimePoint now, UpstreamCommands &commands)
 {
     m_penaltyUntil = penaltyUntil;
     if (m_view.m_state == UpstreamState::Live)
         setState(UpstreamState::Suspect, "a request failed: " + reason, now, commands);
 }
 
-void UpstreamWatch::passRequest(TimePoint now, UpstreamCommands &commands)
+void UpstreamStateTracker::recordRequestSuccess(TimePoint now, UpstreamCommands &commands)
 {
     m_penaltyUntil = TimePoint();
     m_lastAnswer = now;
@@ -156,10 +157,11 @@
 
 // --- time -------------------------------------------------------------------------------------
 
-void UpstreamWatch::settle(UpstreamPlace place, bool isListed, const SilenceLimits &limits,
-                           TimePoint now, WallMillis wallNow, UpstreamCommands &commands)
+void UpstreamStateTracker::updateByTime(UpstreamLocality place, bool isListed,
+                                        const SilenceLimits &limits, TimePoint now,
+                                        WallMillis wallNow, UpstreamCommands &commands)
 {
-    const bool isHere = place == UpstreamPlace::Here;
+    const bool isHere = place == UpstreamLocality::Local;
     if (m_view.m_state == UpstreamState::Leaving)
         settleLeaving(isListed, limits, now, wallNow, commands);
     else if (m_view.m_state == UpstreamState::Live && isHere)
@@ -168,8 +170,8 @@
         setState(UpstreamState::Live, "the penalty is over", now, commands);
 }
 
-void UpstreamWatch::settleLeaving(bool isListed, const SilenceLimits &limits, TimePoint now,
-                                  WallMillis wallNow, UpstreamCommands &commands)
+void UpstreamStateTracker::settleLeaving(bool isListed, const SilenceLimits &limits, TimePoint now,
+                                         WallMillis wallNow, UpstreamCommands &commands)
 {
     const bool isMarked = m_isVmLeaving || m_leavingIncarnation.has_value();
     if (!isMarked && now >= m_heldUntil) {
@@ -183,8 +185,8 @@
         setState(UpstreamState::Gone, "it left", now, commands);
 }
 
-void UpstreamWatch::settleLive(const SilenceLimits &limits, TimePoint now,
-                               UpstreamCommands &commands)
+void UpstreamStateTracker::settleLive(const SilenceLimits &limits, TimePoint now,
+                                      UpstreamCommands &commands)
 {
     const Duration silence = now - m_lastAnswer;
     const bool isSuspected = !m_suspectedBy.empty() && silence >= limits.m_confirmed;
--- a/src/kernel/admin_api.cpp
+++ b/src/kernel/admin_api.cpp
@@ -228,8 +228,8 @@
                         {"ageMillis", 0}});
         for (const NodeView &view : control.fleet().membership().nodes()) {
             const auto version = control.peerVersion(view.m_identity.m_node);
-            const bool wasHeard = view.m_lastHeard != TimePoint();
-            const auto age = wasHeard ? wholeMillis(context.now() - view.m_lastHeard) : -1;
+            const bool wasHeard = view.m_lastReceivedAt != TimePoint();
+            const auto age = wasHeard ? wholeMillis(context.now() - view.m_lastReceivedAt) : -1;
             list.push_back({{"node", view.m_identity.m_node.text()},
                             {"dataCentre", view.m_identity.m_dataCentre.text()},
                             {"state", nodeStateText(view.m_state, view.m_isLeaving)},
--- a/src/kernel/config_driver.cpp
+++ b/src/kernel/config_driver.cpp
@@ -129,7 +129,7 @@
     });
 }
 
-void ConfigDriver::execute(const AskPeer &command)
+void ConfigDriver::execute(const QueryPeer &command)
 {
     wire::PeerRequestBody body;
     body.__set_configAsk(wire::toWire(command.m_ask));
@@ -164,7 +164,7 @@
     });
 }
 
-void ConfigDriver::execute(const InForce &command)
+void ConfigDriver::execute(const PutInForce &command)
 {
     m_view.apply(command.m_object.m_key, command.m_value);
     m_context.m_metrics.add(Counter::SettingsAdopted);
--- a/src/kernel/control.cpp
+++ b/src/kernel/control.cpp
@@ -82,7 +82,7 @@
         if (change.m_state == UpstreamState::Leaving || change.m_state == UpstreamState::Gone)
             m_jobs.onUpstreamLeaving(change.m_upstream);
     };
-    listeners.m_configSeen = [this](const ConfigDigestSeen &seen) {
+    listeners.m_configSeen = [this](const ConfigDigestReceived &seen) {
         ConfigDigestFrom digest;
         digest.m_node = seen.m_node;
         digest.m_dataCentre = seen.m_dataCentre;
@@ -105,7 +105,7 @@
 {
     std::vector<NodeId> nodes{m_context.m_settings.m_node};
     for (const NodeIdentity &node :
-         m_fleet.membership().openNodes(m_context.m_settings.m_dataCentre))
+         m_fleet.membership().availableNodes(m_context.m_settings.m_dataCentre))
         nodes.push_back(node.m_node);
     std::ranges::sort(nodes);
     return nodes;
@@ -372,7 +372,7 @@
         if (peer.m_dataCentre != m_context.m_settings.m_dataCentre)
             continue;
         const NodeView *view = m_fleet.membership().find(peer.m_node);
-        const TimePoint heard = std::max(view ? view->m_lastHeard : m_startedAt, m_startedAt);
+        const TimePoint heard = std::max(view ? view->m_lastReceivedAt : m_startedAt, m_startedAt);
         if (now - heard > peerSilence)
             m_config.onPeerSilent(peer.m_node);
     }
--- a/src/kernel/fleet_driver.cpp
+++ b/src/kernel/fleet_driver.cpp
@@ -149,7 +149,7 @@
         m_upstreamOfKey[upstreamKey(upstream.m_id)] = upstream.m_id;
         declarations.push_back(declarationOf(upstream));
     }
-    run(m_exchange.setStatic(declarations, m_context.now()));
+    run(m_exchange.setConfiguredUpstreams(declarations, m_context.now()));
     m_context.m_loop.spawn([this] { runTicks(); });
     if (!m_context.m_settings.m_cloud)
         return;
@@ -180,7 +180,7 @@
             return;
         }
         if (command.m_body.__isset.heartbeat)
-            m_exchange.noteHeartbeatBytes(m_context.m_peers.lastFrameBytes());
+            m_exchange.recordHeartbeatBytes(m_context.m_peers.lastFrameBytes());
         const wire::PeerReplyBody &body = valueOf(reply).body;
         if (body.__isset.heartbeat) {
             takeInFlight(command.m_to.m_node, body.heartbeat);
@@ -266,7 +266,7 @@
         m_listeners.m_peerLoad(command.m_node, load);
 }
 
-void FleetDriver::execute(const ConfigDigestSeen &command)
+void FleetDriver::execute(const ConfigDigestReceived &command)
 {
     if (m_listeners.m_configSeen)
         m_listeners.m_configSeen(command);
--- a/tests/src/fuzz-config-store.cpp
+++ b/tests/src/fuzz-config-store.cpp
@@ -286,10 +286,10 @@
                                 node.m_watchAfter = watch.m_after;
                                 node.m_askedAt = wall() + skew(index);
                             },
-                            [&](const AskPeer &ask) { send(ask.m_peer, ask.m_ask); },
+                            [&](const QueryPeer &ask) { send(ask.m_peer, ask.m_ask); },
                             [&](const SendUpdate &update) { send(update.m_peer, update.m_update); },
                             [&](const SendDigest &digest) { send(digest.m_peer, digest.m_digest); },
-                            [&](const InForce &change) { checkRise(node, change.m_object); },
+                            [&](const PutInForce &change) { checkRise(node, change.m_object); },
                             [&](const BodyRefused &) {},
                             [&](const ConfigReady &) { checkAll(node); },
                     },
--- a/tests/src/unit-config-peers.cpp
+++ b/tests/src/unit-config-peers.cpp
@@ -17,39 +17,39 @@
 {
     ConfigPeers peers({first, second});
     CHECK_FALSE(peers.isSafe(5, start));
-    peers.noteComplete(first, 4);
+    peers.recordCompleteVersion(first, 4);
     CHECK_FALSE(peers.isSafe(5, start));
 
     SECTION("a peer knows it")
     {
-        peers.noteComplete(first, 5);
-        peers.noteComplete(first, 3);
+        peers.recordCompleteVersion(first, 5);
+        peers.recordCompleteVersion(first, 3);
         CHECK(peers.isSafe(5, start));
     }
 
     SECTION("all were gone, but not at the same instant")
     {
-        CHECK(peers.noteGone(first, start + seconds(1)));
-        CHECK(peers.noteGone(second, start));
+        CHECK(peers.recordGone(first, start + seconds(1)));
+        CHECK(peers.recordGone(second, start));
         CHECK_FALSE(peers.isSafe(5, start));
-        CHECK(peers.noteGone(second, start + seconds(1)));
+        CHECK(peers.recordGone(second, start + seconds(1)));
         CHECK(peers.isSafe(5, start));
-        CHECK_FALSE(peers.noteGone(NodeId("stranger"), start));
+        CHECK_FALSE(peers.recordGone(NodeId("stranger"), start));
     }
 }
 
 TEST_CASE("What a former life of a peer said is dropped, but for the proof that it ended")
 {
     ConfigPeers peers({first});
-    CHECK(peers.meetLife(first, 2));
-    peers.noteComplete(first, 5);
-    peers.noteAnswer(first);
+    CHECK(peers.recordIncarnation(first, 2));
+    peers.recordCompleteVersion(first, 5);
+    peers.recordAnswer(first);
     CHECK(peers.hasEveryAnswer());
-    CHECK_FALSE(peers.meetLife(first, 1));
+    CHECK_FALSE(peers.recordIncarnation(first, 1));
     CHECK(peers.isSafe(5, start));
 
-    peers.noteGone(first, start + seconds(1));
-    CHECK(peers.meetLife(first, 3));
+    peers.recordGone(first, start + seconds(1));
+    CHECK(peers.recordIncarnation(first, 3));
     CHECK_FALSE(peers.hasEveryAnswer());
     CHECK(peers.unanswered() == std::vector{first});
     CHECK_FALSE(peers.isSafe(5, start + seconds(2)));
@@ -60,6 +60,6 @@
 {
     ConfigPeers peers({});
     CHECK_FALSE(peers.hasEveryAnswer());
-    CHECK(peers.meetLife(NodeId("elsewhere"), 1));
+    CHECK(peers.recordIncarnation(NodeId("elsewhere"), 1));
     CHECK(peers.nodes().empty());
 }
--- a/tests/src/unit-config-store.cpp
+++ b/tests/src/unit-config-store.cpp
@@ -100,7 +100,7 @@
     }
     SECTION("an object that a snapshot lacks has ended, and a lagging peer doesn't bring it back")
     {
-        CHECK(countOf<InForce>(store.onPlatformList({0, 20, {}}, startWall, start)) == 1);
+        CHECK(countOf<PutInForce>(store.onPlatformList({0, 20, {}}, startWall, start)) == 1);
         CHECK(versionOf(store) == 0);
         store.onUpdate({{NodeId("b-1"), DataCentreId("b"), 1, {}}, {0, 5, {object(3)}}, {}, 0},
                        start);
@@ -174,7 +174,7 @@
 TEST_CASE("with the platform out, all nodes of the data centre must answer", "[config-store]")
 {
     auto store = makeStore({NodeId("a-2"), NodeId("a-3")});
-    CHECK(countOf<AskPeer>(store.start(start)) == 2);
+    CHECK(countOf<QueryPeer>(store.start(start)) == 2);
     store.onPlatformFailed(start);
     store.onUpdate(answer("a-2", {0, 5, {object(3)}}, true), start);
     CHECK_FALSE(store.isReady());
--- a/tests/src/unit-membership.cpp
+++ b/tests/src/unit-membership.cpp
@@ -197,7 +197,7 @@
         const auto &summary = membership.summaries().at(other).m_summary;
         REQUIRE(summary.m_services.size() == 1);
         CHECK(summary.m_services.front().m_slots == 8);
-        CHECK(membership.openNodes(other).size() == 3);
+        CHECK(membership.availableNodes(other).size() == 3);
     }
 
     SECTION("and stay in touch when the chosen nodes die")
@@ -223,7 +223,7 @@
         world.heal();
         world.run(seconds(15));
         CHECK(stateAt(world, "banos-1", "centro-1") == NodeState::Alive);
-        CHECK(world.exchange("banos-1").membership().openNodes(other).size() == 3);
+        CHECK(world.exchange("banos-1").membership().availableNodes(other).size() == 3);
     }
 }
 
@@ -304,7 +304,7 @@
     const TimePoint start = TimePoint() + seconds(100);
     Membership membership(builder.build(), start);
     for (int count = 0; count < 500; ++count)
-        membership.noteHeartbeatBytes(200);
+        membership.recordHeartbeatBytes(200);
     membership.tick(start + milliseconds(50), 0);
     // 43 peers, 200 bytes each way: 17200 bytes a round, so a round takes 1433 ms.
     CHECK(toMillis(membership.heartbeatInterval()) == Approx(1433).epsilon(0.01));
--- a/tests/src/unit-upstream-parts.cpp
+++ b/tests/src/unit-upstream-parts.cpp
@@ -41,20 +41,20 @@
 
 TEST_CASE("A notice book tells copies, late notices and fresh ones apart")
 {
-    NoticeBook book(seconds(30), minutes(10));
+    NoticeTable book(seconds(30), minutes(10));
     const LeavingNotice notice = reclaimNotice(VmId("vm-1"), banos, wall + 10 * wallSecond, 1);
-    CHECK(book.take(notice, start, wall) == NoticeNews::Fresh);
+    CHECK(book.take(notice, start, wall) == NoticeStatus::Fresh);
     const std::int64_t digest = book.digest();
     CHECK(digest != 0);
-    CHECK(book.take(notice, start, wall) == NoticeNews::Known);
+    CHECK(book.take(notice, start, wall) == NoticeStatus::Known);
     CHECK(book.digest() == digest);
 
     SECTION("one that comes longer after its deadline than the list may lag is late")
     {
         const LeavingNotice old = reclaimNotice(VmId("vm-2"), banos, wall - 31 * wallSecond, 2);
-        CHECK(book.take(old, start, wall) == NoticeNews::Late);
+        CHECK(book.take(old, start, wall) == NoticeStatus::Late);
         const LeavingNotice recent = reclaimNotice(VmId("vm-3"), banos, wall - 30 * wallSecond, 3);
-        CHECK(book.take(recent, start, wall) == NoticeNews::Fresh);
+        CHECK(book.take(recent, start, wall) == NoticeStatus::Fresh);
     }
 
     SECTION("one that ran out is not taken in again for as long as peers may still send it")
@@ -65,41 +65,41 @@
         book.expire(expiry);
         CHECK(book.all().empty());
         CHECK(book.digest() == 0);
-        CHECK(book.take(notice, expiry, wall) == NoticeNews::Known);
+        CHECK(book.take(notice, expiry, wall) == NoticeStatus::Known);
         book.expire(expiry + minutes(10));
-        CHECK(book.take(notice, expiry + minutes(10), wall) == NoticeNews::Fresh);
+        CHECK(book.take(notice, expiry + minutes(10), wall) == NoticeStatus::Fresh);
     }
 
     SECTION("it concerns an upstream on the VM that shows up later, and no other")
     {
-        const auto concerns = book.concerning(runnerOn("vm-1"), start);
+        const auto concerns = book.effectsOn(runnerOn("vm-1"), start);
         REQUIRE(concerns.size() == 1);
         CHECK_FALSE(concerns.front().m_heldUntil);
-        CHECK(book.concerning(runnerOn("vm-2"), start).empty());
+        CHECK(book.effectsOn(runnerOn("vm-2"), start).empty());
     }
 }
 
 TEST_CASE("A zone's notice holds back what shows up there until the list has caught up")
 {
-    NoticeBook book(seconds(30), minutes(10));
+    NoticeTable book(seconds(30), minutes(10));
     book.take(reclaimNotice(VmId(), banos, wall + 10 * wallSecond, 1), start, wall);
-    const auto concerns = book.concerning(runnerOn("vm-1"), start + seconds(39));
+    const auto concerns = book.effectsOn(runnerOn("vm-1"), start + seconds(39));
     REQUIRE(concerns.size() == 1);
     CHECK(concerns.front().m_heldUntil == start + seconds(40));
-    CHECK(book.concerning(runnerOn("vm-1"), start + seconds(40)).empty());
+    CHECK(book.effectsOn(runnerOn("vm-1"), start + seconds(40)).empty());
 }
 
 TEST_CASE("The first owner tells of loads and the second one only of changes of state")
 {
     const Duration interval = seconds(5);
     const Duration probes = milliseconds(500);
-    OwnerWord first;
-    OwnerWord second;
-    const auto speaks = [&](OwnerWord &word, OwnerRank rank, UpstreamState state, int running,
-                            TimePoint now) {
-        return word.speak(rank, state, loadOf(1, running), interval, probes, now);
+    ObservationSchedule first;
+    ObservationSchedule second;
+    const auto speaks = [&](ObservationSchedule &word, OwnerRank rank, UpstreamState state,
+                            int running, TimePoint now) {
+        return word.recordIfDue(rank, state, loadOf(1, running), interval, probes, now);
     };
-    second.hearFirstOwner(start);
+    second.recordFirstOwnerReport(start);
     CHECK(speaks(first, OwnerRank::First, UpstreamState::Live, 4, start));
     CHECK(speaks(second, OwnerRank::Second, UpstreamState::Live, 4, start));
 
@@ -132,7 +132,7 @@
     UpstreamTableSettingsBuilder builder;
     builder.self(NodeId("node-1"), banos).probeInterval(milliseconds(500)).probesPerSecond(10);
     ProbeDuty duty(builder.build());
-    CHECK(duty.isSmall());
+    CHECK(duty.isFullMesh());
     CHECK(duty.ownersOf(UpstreamId("runner-1")).nodes() == std::vector{NodeId("node-1")});
     for (int owned = 0; owned < 5; ++owned)
         duty.add();
@@ -149,7 +149,7 @@
         nodes.emplace_back("node-" + std::to_string(node));
     CHECK(duty.setNodes(nodes));
     CHECK_FALSE(duty.setNodes(nodes));
-    CHECK_FALSE(duty.isSmall());
+    CHECK_FALSE(duty.isFullMesh());
     const ProbeOwners owners = duty.ownersOf(UpstreamId("runner-1"));
     REQUIRE(owners.nodes().size() == 2);
     CHECK(owners.isFirst(owners.nodes().front()));
@@ -160,34 +160,36 @@
 TEST_CASE("A watched upstream under notice stays leaving whatever it answers")
 {
     UpstreamCommands commands;
-    UpstreamWatch watch(runnerOn("vm-1"), UpstreamPlace::Here, start);
-    CHECK(watch.takeLoad(loadOf(3, 0), start));
-    watch.reviveIfHeard(start, commands);
+    UpstreamStateTracker watch(runnerOn("vm-1"), UpstreamLocality::Local, start);
+    CHECK(watch.recordLoad(loadOf(3, 0), start));
+    watch.recoverIfAnswered(start, commands);
     CHECK(watch.view().m_state == UpstreamState::Live);
 
     SECTION("of a reclaimed VM also in a higher incarnation, and gone once silent")
     {
         const LeavingNotice notice = reclaimNotice(VmId("vm-1"), banos, wall + wallSecond, 1);
         watch.leave(notice, start, commands);
-        CHECK(watch.takeLoad(loadOf(4, 0), start + seconds(1)));
-        watch.reviveIfHeard(start + seconds(1), commands);
+        CHECK(watch.recordLoad(loadOf(4, 0), start + seconds(1)));
+        watch.recoverIfAnswered(start + seconds(1), commands);
         CHECK(watch.view().m_state == UpstreamState::Leaving);
         const SilenceLimits limits{seconds(3), seconds(1), seconds(20)};
         const WallMillis deadline = wall + wallSecond;
-        watch.settle(UpstreamPlace::Here, true, limits, start + seconds(3), deadline, commands);
+        watch.updateByTime(UpstreamLocality::Local, true, limits, start + seconds(3), deadline,
+                           commands);
         CHECK(watch.view().m_state == UpstreamState::Leaving);
-        watch.settle(UpstreamPlace::Here, true, limits, start + seconds(4), deadline, commands);
+        watch.updateByTime(UpstreamLocality::Local, true, limits, start + seconds(4), deadline,
+                           commands);
         CHECK(watch.view().m_state == UpstreamState::Gone);
     }
 
     SECTION("of a drained process until a higher incarnation answers")
     {
         watch.leave(drainNotice(watch.view().m_declaration.m_upstream, 3, wall), start, commands);
-        CHECK(watch.takeLoad(loadOf(3, 0), start + seconds(1)));
-        watch.reviveIfHeard(start + seconds(1), commands);
+        CHECK(watch.recordLoad(loadOf(3, 0), start + seconds(1)));
+        watch.recoverIfAnswered(start + seconds(1), commands);
         CHECK(watch.view().m_state == UpstreamState::Leaving);
-        CHECK(watch.takeLoad(loadOf(4, 0), start + seconds(2)));
-        watch.reviveIfHeard(start + seconds(2), commands);
+        CHECK(watch.recordLoad(loadOf(4, 0), start + seconds(2)));
+        watch.recoverIfAnswered(start + seconds(2), commands);
         CHECK(watch.view().m_state == UpstreamState::Live);
     }
 
@@ -199,8 +201,8 @@
 
     SECTION("a load of an earlier incarnation, or an older one, is not taken")
     {
-        CHECK_FALSE(watch.takeLoad(loadOf(2, 0), start + seconds(1)));
-        CHECK_FALSE(watch.takeLoad(loadOf(3, 0), start - seconds(1)));
+        CHECK_FALSE(watch.recordLoad(loadOf(2, 0), start + seconds(1)));
+        CHECK_FALSE(watch.recordLoad(loadOf(3, 0), start - seconds(1)));
     }
 }
 
@@ -211,26 +213,26 @@
     summary.m_summary.m_services = {capacity};
     summary.m_receivedAt = start;
     const std::map<DataCentreId, ReceivedSummary> summaries = {{cuenca, summary}};
-    const auto scopeOf = [&](const OwnRoom &room, RemoteScope scope, Duration age) {
+    const auto scopeOf = [&](const OwnCapacity &room, RemoteScope scope, Duration age) {
         return chooseRouteScope(room, service, scope, summaries, seconds(10), start + age);
     };
-    const OwnRoom none;
-    const OwnRoom suspect{true, false, false};
-    const OwnRoom full{true, true, false};
-    const OwnRoom roomy{true, true, true};
+    const OwnCapacity none;
+    const OwnCapacity suspect{true, false, false};
+    const OwnCapacity full{true, true, false};
+    const OwnCapacity roomy{true, true, true};
 
     CHECK(std::holds_alternative<RouteOwn>(scopeOf(roomy, RemoteScope::WhenFull, {})));
     CHECK(std::holds_alternative<RouteRemote>(scopeOf(full, RemoteScope::WhenFull, {})));
     CHECK(std::holds_alternative<RouteOwn>(scopeOf(full, RemoteScope::WhenGone, {})));
     CHECK(std::holds_alternative<RouteRemote>(scopeOf(suspect, RemoteScope::WhenGone, {})));
     CHECK(std::holds_alternative<RouteOwn>(scopeOf(suspect, RemoteScope::Never, {})));
-    CHECK(std::holds_alternative<RouteNowhere>(scopeOf(none, RemoteScope::Never, {})));
+    CHECK(std::holds_alternative<RouteUnavailable>(scopeOf(none, RemoteScope::Never, {})));
     CHECK(std::holds_alternative<RouteRemote>(scopeOf(none, RemoteScope::WhenGone, {})));
 
     SECTION("an old summary counts for nothing")
     {
         CHECK(std::holds_alternative<RouteOwn>(scopeOf(full, RemoteScope::WhenFull, seconds(11))));
-        CHECK(std::holds_alternative<RouteNowhere>(
+        CHECK(std::holds_alternative<RouteUnavailable>(
                 scopeOf(none, RemoteScope::WhenFull, seconds(11))));
     }
 }
--- a/tests/src/unit-upstream-table.cpp
+++ b/tests/src/unit-upstream-table.cpp
@@ -228,7 +228,7 @@
 TEST_CASE("An operator's drain holds for the incarnation")
 {
     UpstreamTable table = smallTable(RemoteScope::Never);
-    table.setStatic({staticUpstream()}, start);
+    table.setConfiguredUpstreams({staticUpstream()}, start);
     const UpstreamId upstream = staticUpstream().m_upstream;
     table.onLoad(upstream, {5, 4, 0, 0, 0}, start);
     table.drain(upstream, start, wall);
@@ -250,7 +250,7 @@
 TEST_CASE("Among many nodes requests in flight are told to the owners only")
 {
     UpstreamTable table = smallTable(RemoteScope::Never);
-    table.setStatic({staticUpstream()}, start);
+    table.setConfiguredUpstreams({staticUpstream()}, start);
     std::vector<NodeId> nodes{NodeId("banos-1"), NodeId("banos-2"), NodeId("banos-3")};
     table.setNodes(nodes);
     table.setInFlight(staticUpstream().m_upstream, 3);
@@ -277,7 +277,7 @@
 TEST_CASE("A failed request makes the upstream suspect for this node for a while")
 {
     UpstreamTable table = smallTable(RemoteScope::Never);
-    table.setStatic({staticUpstream()}, start);
+    table.setConfiguredUpstreams({staticUpstream()}, start);
     const UpstreamId upstream = staticUpstream().m_upstream;
     table.onLoad(upstream, {1, 4, 0, 0, 0}, start);
     table.onRequestFailed(upstream, "connection refused", start + seconds(1));
@@ -293,7 +293,7 @@
     const RemoteScope scope =
             GENERATE(RemoteScope::Never, RemoteScope::WhenGone, RemoteScope::WhenFull);
     UpstreamTable table = smallTable(scope);
-    table.setStatic({staticUpstream()}, start);
+    table.setConfiguredUpstreams({staticUpstream()}, start);
     const UpstreamId upstream = staticUpstream().m_upstream;
     std::map<DataCentreId, ReceivedSummary> summaries;
     for (const int room : {1, 5, 0}) {
@@ -316,12 +316,12 @@
     table.drain(upstream, start + seconds(2), wall);
     const RouteScope gone = route(start + seconds(2));
     if (scope == RemoteScope::Never) {
-        CHECK(std::holds_alternative<RouteNowhere>(gone));
+        CHECK(std::holds_alternative<RouteUnavailable>(gone));
         return;
     }
     REQUIRE(std::holds_alternative<RouteRemote>(gone));
     const auto &order = std::get<RouteRemote>(gone).m_dataCentres;
     CHECK(order == std::vector<DataCentreId>{DataCentreId("other-5"), DataCentreId("other-1")});
     // A summary that is too old says nothing any more.
-    CHECK(std::holds_alternative<RouteNowhere>(route(start + seconds(60))));
+    CHECK(std::holds_alternative<RouteUnavailable>(route(start + seconds(60))));
 }
