--- a/bench/capacity/request_costs.cpp
+++ b/bench/capacity/request_costs.cpp
@@ -247,7 +247,7 @@
         assembler.beginAttempt("attempt");
         const Stopwatch watch;
         for (int token = 0; token < tokens; ++token)
-            assembler.take({"attempt", token, "Mutter ", ""});
+            assembler.addEvent({"attempt", token, "Mutter ", ""});
         assembled.add(tokens, watch.nanos());
         memory.add(tokens, static_cast<double>(heldBytes() - before));
 
--- a/bench/checkpoint/main.cpp
+++ b/bench/checkpoint/main.cpp
@@ -177,16 +177,16 @@
     EngineEventReader reader;
     AnswerAssembler assembler;
     assembler.beginAttempt("n1.1f.2.00ff/1/7");
-    const auto take = [&](std::string_view data) -> Result<Done> {
+    const auto addEvent = [&](std::string_view data) -> Result<Done> {
         const auto event = reader.read(data);
         if (!succeeded(event))
             return errorOf(event);
-        assembler.take(std::get<TokenEvent>(valueOf(event)));
+        assembler.addEvent(std::get<TokenEvent>(valueOf(event)));
         return Done{};
     };
     const auto start = std::chrono::steady_clock::now();
     for (std::size_t at = 0; at < body.size(); at += pieceBytes) {
-        if (!succeeded(parser.feed(std::string_view(body).substr(at, pieceBytes), take)))
+        if (!succeeded(parser.feed(std::string_view(body).substr(at, pieceBytes), addEvent)))
             fmt::print("malformed\n");
     }
     const std::chrono::duration<double> taken = std::chrono::steady_clock::now() - start;
--- a/include/gypsumdale/jobs/answer_assembler.hpp
+++ b/include/gypsumdale/jobs/answer_assembler.hpp
@@ -61,17 +61,17 @@
     /// Takes one event. After a gap, all further events of the attempt are dropped as gaps too.
     /// Amortised linear in the event's text. An event with a finish reason and no text adds no
     /// token.
-    EventVerdict take(const TokenEvent &event);
+    EventVerdict addEvent(const TokenEvent &event);
 
     /// Takes the end marker of a stream that belongs to `attempt`. Constant.
-    EventVerdict takeEndMarker(std::string_view attempt);
+    EventVerdict receiveEndMarker(std::string_view attempt);
 
     /// Tells whether finish reason and end marker were both seen, without a gap. Constant.
-    bool isWhole() const { return m_ended && !m_finishReason.empty() && !m_failed; }
+    bool hasCompleteAnswer() const { return m_ended && !m_finishReason.empty() && !m_failed; }
 
     /// Tells how the attempt ended, once its connection is at its end: nothing wrong, or
     /// AnswerTruncated with the reason. Constant.
-    Result<Done> endAttempt() const;
+    Result<Done> attemptResult() const;
 
     const AnswerText &answer() const { return m_answer; }
     const std::string &attempt() const { return m_attempt; }
--- a/include/gypsumdale/jobs/answer_text.hpp
+++ b/include/gypsumdale/jobs/answer_text.hpp
@@ -39,7 +39,7 @@
     AnswerText from(std::int64_t tokens) const;
 
     /// Drops all behind the first `tokens` tokens. Constant.
-    void cutTo(std::int64_t tokens);
+    void truncateTo(std::int64_t tokens);
 
     /// Writes the byte lengths of the tokens from an offset on as unsigned LEB128. Linear.
     std::string encodedLengths(std::int64_t fromToken = 0) const;
--- a/include/gypsumdale/jobs/checkpoint_policy.hpp
+++ b/include/gypsumdale/jobs/checkpoint_policy.hpp
@@ -57,7 +57,7 @@
     double m_lossesPerSecond = 0;
     double m_writeCost = 0;
     double m_tokenCost = 0;
-    Duration m_shortest{};
+    Duration m_minInterval{};
 };
 
 /// Only at the end of an answer.
--- a/include/gypsumdale/jobs/epoch_history.hpp
+++ b/include/gypsumdale/jobs/epoch_history.hpp
@@ -23,7 +23,7 @@
 std::string toText(const AnswerPosition &position);
 
 /// Reads a position; nothing for a text that is none. Linear.
-std::optional<AnswerPosition> positionFrom(std::string_view text);
+std::optional<AnswerPosition> parsePosition(std::string_view text);
 
 /// The caller's tokens are all of this answer; the next one has this offset.
 struct ContinueAt
@@ -35,12 +35,12 @@
 
 /// The caller's tokens behind the offset come from a generation that was lost. It drops them and
 /// goes on from there in the epoch named.
-struct CutBackTo
+struct DiscardAfter
 {
     std::int64_t m_epoch = 0;
     std::int64_t m_offset = 0;
 
-    friend bool operator==(const CutBackTo &, const CutBackTo &) = default;
+    friend bool operator==(const DiscardAfter &, const DiscardAfter &) = default;
 };
 
 /// Nothing is known of the caller's epoch: it drops all it has and starts at 0.
@@ -49,7 +49,7 @@
     friend bool operator==(const UnknownEpoch &, const UnknownEpoch &) = default;
 };
 
-using EpochCheck = std::variant<ContinueAt, CutBackTo, UnknownEpoch>;
+using EpochCheck = std::variant<ContinueAt, DiscardAfter, UnknownEpoch>;
 
 /// The epochs of one answer in order, each with the offset of its first token, after the leader
 /// epoch cache of KIP-320. A caller that has tokens behind the start of the epoch that follows its
--- a/include/gypsumdale/jobs/job_commands.hpp
+++ b/include/gypsumdale/jobs/job_commands.hpp
@@ -26,7 +26,7 @@
 };
 
 /// Stop reading this log.
-struct LeaveLog
+struct UnfollowLog
 {
     JobLogId m_log;
 };
@@ -86,13 +86,13 @@
 };
 
 /// Tell the caller that its job is held and will finish.
-struct TellAccepted
+struct ReportAccepted
 {
     JobId m_job;
 };
 
 /// Tell the caller that its job is not held; it will not go on.
-struct TellRefused
+struct ReportRefused
 {
     JobId m_job;
     Error m_error;
@@ -100,7 +100,7 @@
 
 /// Tell the callers of this job, whose next events come from another node, to reattach at their
 /// position. The node may be empty: then any entry VM will do.
-struct TellReattach
+struct RequestReattach
 {
     JobId m_job;
     NodeId m_node;
@@ -108,22 +108,23 @@
 
 /// Tell the callers of this job that it is over, or that its answer is provisional and the platform
 /// out of reach. Answers are read with reattach().
-struct TellOver
+struct ReportEnded
 {
     JobId m_job;
     JobState m_state = JobState::Finished;
 };
 
 /// A provisional answer was shown, and the log went on with another owner's.
-struct TellOverruled
+struct ReportOverruled
 {
     JobId m_job;
     NodeId m_owner;
 };
 
-using JobCommand = std::variant<AppendRecord, FollowLog, LeaveLog, HoldAtPeer, ReleaseAtPeer,
-                                AnswerHold, HandOver, AnswerHandOver, StartAttempt, CancelAttempt,
-                                TellAccepted, TellRefused, TellReattach, TellOver, TellOverruled>;
+using JobCommand =
+        std::variant<AppendRecord, FollowLog, UnfollowLog, HoldAtPeer, ReleaseAtPeer, AnswerHold,
+                     HandOver, AnswerHandOver, StartAttempt, CancelAttempt, ReportAccepted,
+                     ReportRefused, RequestReattach, ReportEnded, ReportOverruled>;
 
 using JobCommands = std::vector<JobCommand>;
 
--- a/include/gypsumdale/jobs/job_table.hpp
+++ b/include/gypsumdale/jobs/job_table.hpp
@@ -29,7 +29,7 @@
 };
 
 /// What a notice is about.
-enum class NoticeScope { OwnVm, OwnDataCentre };
+enum class ReclaimScope { OwnVm, OwnDataCentre };
 
 /// Bounds and times of a JobTable.
 struct JobTableSettings
@@ -39,7 +39,7 @@
     /// From the offer to the refusal, if the job is held nowhere until then.
     Duration m_acceptTimeout = std::chrono::seconds(2);
     /// From the offer until a peer is asked as well although the platform seems up.
-    Duration m_peerFallback = std::chrono::milliseconds(500);
+    Duration m_peerFallbackDelay = std::chrono::milliseconds(500);
     /// From a message to a peer until it is sent again, or to another one.
     Duration m_peerTimeout = std::chrono::milliseconds(500);
     /// From a death until the successor takes over; a holder, whose copy may be newer, goes first.
@@ -53,17 +53,17 @@
     std::size_t m_maximumJobs = 4'000;
     /// From the creation to the latest deadline. Records older than this and the retention together
     /// are of no use: the log may be trimmed before them.
-    Duration m_maximumLife = std::chrono::hours(6);
+    Duration m_maximumJobAge = std::chrono::hours(6);
     /// From an append until what the log still lacks is appended again.
     Duration m_appendTimeout = std::chrono::seconds(10);
     /// From when a process that a log names was first seen not to be among the peers, until it
     /// counts as dead.
     Duration m_orphanDelay = std::chrono::seconds(10);
     /// From the last use of another process's log until it is no longer read.
-    Duration m_logIdle = std::chrono::seconds(60);
+    Duration m_logIdleTimeout = std::chrono::seconds(60);
     /// From the platform's return, and from the death of the process that took the job, until a job
     /// that is not in its log counts as unknown: its holder may have to append it first.
-    Duration m_settleTime = std::chrono::seconds(10);
+    Duration m_unknownJobDelay = std::chrono::seconds(10);
     CheckpointPolicy m_checkpoints = EveryInterval{std::chrono::seconds(5)};
     std::uint64_t m_seed = 0;
 };
@@ -82,13 +82,13 @@
 
 /// The caller first drops what it has behind the position (all of it at offset 0), then asks again
 /// from there.
-struct CutBack
+struct DiscardTokens
 {
     AnswerPosition m_position;
 };
 
 /// Another node owns the job: ask there.
-struct AskNode
+struct RedirectToNode
 {
     NodeId m_node;
 };
@@ -99,7 +99,7 @@
     JobLogId m_log;
 };
 
-using ReattachAnswer = std::variant<ServeFrom, CutBack, AskNode, AwaitLog, Error>;
+using ReattachAnswer = std::variant<ServeFrom, DiscardTokens, RedirectToNode, AwaitLog, Error>;
 
 /// One line of the operators' list of jobs.
 struct JobSummary
@@ -147,13 +147,13 @@
     explicit JobTable(JobTableSettings settings);
 
     /// Takes a new job and starts its first attempt at once; whether it is accepted is told later
-    /// by TellAccepted or TellRefused. Fails with Draining after a notice and with JobNotHeld at
-    /// once if the table is full or if neither the platform nor a peer in another data centre is
+    /// by ReportAccepted or ReportRefused. Fails with Draining after a notice and with JobNotHeld
+    /// at once if the table is full or if neither the platform nor a peer in another data centre is
     /// there.
     Result<JobId> offer(const JobRequest &request, TimePoint now);
 
     /// The platform answers again, or has gone. Starts as gone.
-    void onPlatform(bool up, TimePoint now);
+    void onPlatformChanged(bool up, TimePoint now);
 
     /// The next record of a followed log; own records come back this way too.
     void onRecordApplied(const JobLogId &log, const wire::JobRecord &record, TimePoint now);
@@ -201,7 +201,7 @@
 
     /// This VM or its data centre is to be reclaimed: no new jobs, and every job is handed to a
     /// peer, outside the data centre if that goes as a whole.
-    void onNotice(NoticeScope scope, TimePoint now);
+    void onReclaimNotice(ReclaimScope scope, TimePoint now);
 
     /// Moves all timers. To be called at least every 100 ms; `wallNow` judges deadlines.
     void tick(TimePoint now, WallMillis wallNow);
@@ -227,7 +227,7 @@
     std::size_t ownedCount() const { return m_owned.size(); }
 
     /// Tells how many jobs this node keeps copies of for peers. Constant.
-    std::size_t copiesHeld() const { return m_copyOwners.size(); }
+    std::size_t heldCopyCount() const { return m_copyOwners.size(); }
 
     const JobTableCounters &counters() const { return m_counters; }
 
@@ -402,7 +402,7 @@
     JobTableCounters m_counters;
     bool m_platformUp = false;
     TimePoint m_platformUpSince;
-    std::optional<NoticeScope> m_notice;
+    std::optional<ReclaimScope> m_notice;
     std::uint64_t m_nextNumber = 1;
     std::uint64_t m_nextAttempt = 1;
     std::vector<JobPeer> m_peers;
--- a/include/gypsumdale/kernel/claim_driver.hpp
+++ b/include/gypsumdale/kernel/claim_driver.hpp
@@ -50,7 +50,7 @@
     void execute(const ClaimDecided &event);
     void execute(const OutcomeRecorded &event);
     void execute(const RecordToForward &event);
-    void execute(const ShardTrouble &event);
+    void execute(const ShardProblem &event);
     void runTimer();
 
     ControlContext &m_context;
--- a/include/gypsumdale/kernel/job_driver.hpp
+++ b/include/gypsumdale/kernel/job_driver.hpp
@@ -60,7 +60,7 @@
     void onUpstreamLeaving(const UpstreamId &upstream);
     void onNodesChanged();
     void onNodeDead(const NodeStateChanged &change);
-    void onNotice(NoticeScope scope);
+    void onReclaimNotice(ReclaimScope scope);
 
     wire::JobHoldAnswer onHold(const NodeId &sender, const wire::JobHold &hold);
     void onRelease(const NodeId &sender, const wire::JobRelease &release);
@@ -89,7 +89,7 @@
     void run();
     void execute(const AppendRecord &command);
     void execute(const FollowLog &command);
-    void execute(const LeaveLog &command);
+    void execute(const UnfollowLog &command);
     void execute(const HoldAtPeer &command);
     void execute(const ReleaseAtPeer &command);
     void execute(const AnswerHold &command);
@@ -97,11 +97,11 @@
     void execute(const AnswerHandOver &command);
     void execute(const StartAttempt &command);
     void execute(const CancelAttempt &command);
-    void execute(const TellAccepted &command);
-    void execute(const TellRefused &command);
-    void execute(const TellReattach &command);
-    void execute(const TellOver &command);
-    void execute(const TellOverruled &command);
+    void execute(const ReportAccepted &command);
+    void execute(const ReportRefused &command);
+    void execute(const RequestReattach &command);
+    void execute(const ReportEnded &command);
+    void execute(const ReportOverruled &command);
     /// Sends a message that wants an answer; a peer that gives none counts as failed.
     void askPeer(const NodeId &peer, const wire::PeerRequestBody &body,
                  JobMessenger::TakeReply take);
--- a/include/gypsumdale/ledger/claim_ledger.hpp
+++ b/include/gypsumdale/ledger/claim_ledger.hpp
@@ -34,23 +34,23 @@
     /// By how much clocks may differ; keys are kept so much longer.
     Duration m_clockTolerance = std::chrono::minutes(5);
     /// The longest a claim waits for the platform, even if its deadline is later.
-    Duration m_patience = std::chrono::seconds(5);
+    Duration m_claimTimeout = std::chrono::seconds(5);
     /// The time to come back that a refusal names if the platform named none.
     Duration m_retryAfter = std::chrono::seconds(1);
     /// Answers above this are not kept; a resubmission then gets the status alone.
     std::size_t m_maxAnswerBytes = 4096;
     /// A shard's state is dropped after this long without use, and replayed when next needed.
-    Duration m_idleShard = std::chrono::minutes(30);
+    Duration m_shardIdleTimeout = std::chrono::minutes(30);
     /// The least time between two writes to one shard.
     Duration m_writeInterval = std::chrono::milliseconds(200);
     /// Segments of a shard above which its keys are restated, so that older segments can go and a
     /// replay stays short.
-    std::size_t m_compactAbove = 512;
+    std::size_t m_compactionThreshold = 512;
     /// A segment stays for at least this long, counted from when the node that deletes it saw it.
-    /// Far above m_trustEnd: a create that was held up for less meets the segment.
+    /// Far above m_endTrustDuration: a create that was held up for less meets the segment.
     Duration m_trimDelay = std::chrono::minutes(10);
     /// For how long the end of a log, once seen, is taken to be not trimmed away.
-    Duration m_trustEnd = std::chrono::minutes(1);
+    Duration m_endTrustDuration = std::chrono::minutes(1);
     /// Bytes of kept answers in the memory of one shard.
     std::size_t m_maxAnswerMemory = std::size_t{512} * 1024;
 };
@@ -198,9 +198,9 @@
         return *this;
     }
 
-    ClaimLedgerBuilder &patience(Duration value)
+    ClaimLedgerBuilder &claimTimeout(Duration value)
     {
-        m_settings.m_patience = value;
+        m_settings.m_claimTimeout = value;
         return *this;
     }
 
@@ -216,9 +216,9 @@
         return *this;
     }
 
-    ClaimLedgerBuilder &idleShard(Duration value)
+    ClaimLedgerBuilder &shardIdleTimeout(Duration value)
     {
-        m_settings.m_idleShard = value;
+        m_settings.m_shardIdleTimeout = value;
         return *this;
     }
 
@@ -228,9 +228,9 @@
         return *this;
     }
 
-    ClaimLedgerBuilder &compactAbove(std::size_t value)
+    ClaimLedgerBuilder &compactionThreshold(std::size_t value)
     {
-        m_settings.m_compactAbove = value;
+        m_settings.m_compactionThreshold = value;
         return *this;
     }
 
@@ -240,9 +240,9 @@
         return *this;
     }
 
-    ClaimLedgerBuilder &trustEnd(Duration value)
+    ClaimLedgerBuilder &endTrustDuration(Duration value)
     {
-        m_settings.m_trustEnd = value;
+        m_settings.m_endTrustDuration = value;
         return *this;
     }
 
--- a/include/gypsumdale/ledger/claim_messages.hpp
+++ b/include/gypsumdale/ledger/claim_messages.hpp
@@ -116,7 +116,7 @@
 };
 
 /// Something an operator should see: segments gone unread, or a corrupt one.
-struct ShardTrouble
+struct ShardProblem
 {
     ShardNumber m_shard = 0;
     std::variant<LogGap, LogStray, LogCorrupt> m_what;
@@ -131,7 +131,7 @@
     std::string m_record;
 };
 
-using ClaimEvent = std::variant<ClaimDecided, OutcomeRecorded, RecordToForward, ShardTrouble>;
+using ClaimEvent = std::variant<ClaimDecided, OutcomeRecorded, RecordToForward, ShardProblem>;
 
 /// A command for the log of one shard, whose objects are `claims/<shardName>/<segmentName>`.
 struct ShardCommand
--- a/include/gypsumdale/ledger/order_lease.hpp
+++ b/include/gypsumdale/ledger/order_lease.hpp
@@ -75,7 +75,7 @@
     /// The longest pause of a process that engines without fencing are guarded against.
     Duration m_longestPause = std::chrono::seconds(30);
     /// Between two readings by a node that does not hold the lease.
-    Duration m_readEvery = std::chrono::seconds(3);
+    Duration m_readInterval = std::chrono::seconds(3);
 };
 
 /// The lease of a data centre's one orderer, kept in one object of the platform.
@@ -100,7 +100,7 @@
 
     /// The same for engines that ignore the number: it also waits out the longest pause after the
     /// take-over, so that an order of the old holder can't arrive after one of the new.
-    std::optional<FencingNumber> fenceForUnchecked(TimePoint now) const;
+    std::optional<FencingNumber> fenceForUncheckedEngine(TimePoint now) const;
 
     /// An engine refused the number as old: somebody else holds the lease. Stops at once and reads.
     void onFenced();
@@ -145,7 +145,7 @@
     TimePoint m_writtenAt;
     /// When the write that the lease rests on was sent.
     TimePoint m_heldFrom;
-    /// When this process took the lease over, for the wait of fenceForUnchecked().
+    /// When this process took the lease over, for the wait of fenceForUncheckedEngine().
     TimePoint m_takenAt;
     TimePoint m_sentAt;
     TimePoint m_nextTry;
@@ -163,7 +163,7 @@
         return *this;
     }
 
-    OrderLeaseBuilder &renewEvery(Duration value)
+    OrderLeaseBuilder &renewInterval(Duration value)
     {
         m_settings.m_renewInterval = value;
         return *this;
@@ -181,9 +181,9 @@
         return *this;
     }
 
-    OrderLeaseBuilder &readEvery(Duration value)
+    OrderLeaseBuilder &readInterval(Duration value)
     {
-        m_settings.m_readEvery = value;
+        m_settings.m_readInterval = value;
         return *this;
     }
 
--- a/include/gypsumdale/ledger/order_reconciler.hpp
+++ b/include/gypsumdale/ledger/order_reconciler.hpp
@@ -42,8 +42,8 @@
 {
 public:
     /// The interval is the longest time for which a wrong state goes unseen.
-    explicit OrderReconciler(Duration readEvery)
-        : m_readEvery(readEvery)
+    explicit OrderReconciler(Duration readInterval)
+        : m_readInterval(readInterval)
     {}
 
     /// Sets what an engine shall be in, as an opaque text that compares equal to what it reports.
@@ -55,7 +55,7 @@
     std::optional<EngineCommand> next(const OrderLease &lease, TimePoint now);
 
     /// The engine answered an order, or its answer was lost: it is read before anything else.
-    void onOrdered(const UpstreamId &engine);
+    void onOrderAnswered(const UpstreamId &engine);
 
     /// The engine is in this state, or did not say.
     void onRead(const UpstreamId &engine, const std::optional<std::string> &state, TimePoint now);
@@ -73,7 +73,7 @@
         TimePoint m_readAt;
     };
 
-    Duration m_readEvery;
+    Duration m_readInterval;
     std::map<UpstreamId, Engine> m_engines;
 };
 
--- a/include/gypsumdale/ledger/platform_log.hpp
+++ b/include/gypsumdale/ledger/platform_log.hpp
@@ -38,7 +38,7 @@
     Duration m_writeInterval = std::chrono::milliseconds(50);
     /// For how long the end of the log, once seen, is taken to be not trimmed away. Far below the
     /// time for which segments are kept.
-    Duration m_trustEnd = std::chrono::minutes(1);
+    Duration m_endTrustDuration = std::chrono::minutes(1);
     /// Between two readings of a corrupt segment.
     Duration m_corruptRetry = std::chrono::seconds(10);
 };
@@ -63,7 +63,7 @@
 
     /// Gives up on a record and tells whether it can still take effect. A ticket that is no longer
     /// known, because it was applied or dropped, gives MayBeWritten. Linear in what waits.
-    Abandoned abandon(LogTicket ticket) { return m_queue.abandon(ticket); }
+    AbandonResult abandon(LogTicket ticket) { return m_queue.abandon(ticket); }
 
     /// Asks for a reading up to the end; LogCaughtUp follows.
     void refresh();
@@ -89,7 +89,7 @@
 
     LogState state(TimePoint now) const;
     /// Returns how long the platform's outage makes callers wait, zero if it is not out. Constant.
-    Duration unavailableFor(TimePoint now) const;
+    Duration remainingBackoff(TimePoint now) const;
     bool hasOutstanding() const { return m_outstanding != Waiting::Nothing; }
     /// Tells whether records wait, or a create is unsettled. Constant.
     bool hasWork() const { return m_queue.hasWaiting() || m_own.has_value(); }
@@ -210,9 +210,9 @@
         return *this;
     }
 
-    PlatformLogBuilder &trustEnd(Duration value)
+    PlatformLogBuilder &endTrustDuration(Duration value)
     {
-        m_settings.m_trustEnd = value;
+        m_settings.m_endTrustDuration = value;
         return *this;
     }
 
--- a/include/gypsumdale/ledger/record_queue.hpp
+++ b/include/gypsumdale/ledger/record_queue.hpp
@@ -11,7 +11,7 @@
 namespace gypsumdale {
 
 /// Tells whether an abandoned record can still take effect.
-enum class Abandoned {
+enum class AbandonResult {
     NotWritten, ///< It never will.
     MayBeWritten, ///< It may; RecordApplied or RecordDropped tells which, if it is ever learnt.
 };
@@ -48,7 +48,7 @@
     Result<LogTicket> append(std::string record);
 
     /// Gives up on a record. One that waits is taken out; one of the batch is marked. Linear.
-    Abandoned abandon(LogTicket ticket);
+    AbandonResult abandon(LogTicket ticket);
 
     /// Tells whether records wait that are not in the batch. Constant.
     bool hasWaiting() const { return !m_waiting.empty(); }
--- a/src/jobs/answer_assembler.cpp
+++ b/src/jobs/answer_assembler.cpp
@@ -16,7 +16,7 @@
     m_failed = false;
 }
 
-EventVerdict AnswerAssembler::take(const TokenEvent &event)
+EventVerdict AnswerAssembler::addEvent(const TokenEvent &event)
 {
     // An answer that comes late or crossed, on a connection that was used before, carries another
     // attempt's name: taken in, a caller would read a stranger's words.
@@ -45,7 +45,7 @@
     return EventVerdict::Taken;
 }
 
-EventVerdict AnswerAssembler::takeEndMarker(std::string_view attempt)
+EventVerdict AnswerAssembler::receiveEndMarker(std::string_view attempt)
 {
     if (attempt != m_attempt) {
         ++m_counters.m_otherAttempt;
@@ -55,7 +55,7 @@
     return EventVerdict::Taken;
 }
 
-Result<Done> AnswerAssembler::endAttempt() const
+Result<Done> AnswerAssembler::attemptResult() const
 {
     if (m_failed)
         return Error{ErrorId::AnswerTruncated, "tokens are missing in between"};
--- a/src/jobs/answer_text.cpp
+++ b/src/jobs/answer_text.cpp
@@ -58,7 +58,7 @@
     return rest;
 }
 
-void AnswerText::cutTo(std::int64_t tokens)
+void AnswerText::truncateTo(std::int64_t tokens)
 {
     const std::int64_t kept = std::clamp<std::int64_t>(tokens, 0, this->tokens());
     m_text.resize(bytesBefore(kept));
--- a/src/jobs/checkpoint_policy.cpp
+++ b/src/jobs/checkpoint_policy.cpp
@@ -59,7 +59,7 @@
         return boundedDuration(longestSeconds);
     const Duration optimum =
             boundedDuration(std::sqrt(2 * policy.m_writeCost / lossPerSecondSquared));
-    return std::max(optimum, policy.m_shortest);
+    return std::max(optimum, policy.m_minInterval);
 }
 
 bool isCheckpointDue(const CheckpointPolicy &policy, const CheckpointLoad &load)
--- a/src/jobs/epoch_history.cpp
+++ b/src/jobs/epoch_history.cpp
@@ -25,7 +25,7 @@
     return fmt::format("{}:{}", position.m_epoch, position.m_offset);
 }
 
-std::optional<AnswerPosition> positionFrom(std::string_view text)
+std::optional<AnswerPosition> parsePosition(std::string_view text)
 {
     const std::size_t colon = text.find(':');
     if (colon == std::string_view::npos)
@@ -57,7 +57,7 @@
     for (++index; index < m_starts.size(); ++index)
         valid = std::min(valid, m_starts[index].m_offset);
     if (offset > valid)
-        return CutBackTo{current(), valid};
+        return DiscardAfter{current(), valid};
     return ContinueAt{offset};
 }
 
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -96,7 +96,7 @@
     const JobId id = makeJobId(m_settings.m_self, m_nextNumber++, salt);
     owned.m_job.m_id = id;
     owned.m_job.m_request = request;
-    const WallMillis latest = request.m_created + toWallMillis(m_settings.m_maximumLife);
+    const WallMillis latest = request.m_created + toWallMillis(m_settings.m_maximumJobAge);
     owned.m_job.m_request.m_deadline = std::min(request.m_deadline, latest);
     owned.m_job.m_owner = m_settings.m_self;
     owned.m_job.m_epochs.begin(nextEpoch(0, m_random()), 0);
@@ -131,14 +131,14 @@
         return;
     owned.m_isAccepted = true;
     ++m_counters.m_accepted;
-    emit(TellAccepted{owned.m_job.m_id});
+    emit(ReportAccepted{owned.m_job.m_id});
 }
 
 void JobTable::refuse(OwnedJob &owned, Error error, TimePoint now)
 {
     cancelAttempt(owned);
     ++m_counters.m_refused;
-    emit(TellRefused{owned.m_job.m_id, std::move(error)});
+    emit(ReportRefused{owned.m_job.m_id, std::move(error)});
     releaseCopies(owned, {});
     owned.m_holder.reset();
     owned.m_mode = Mode::Withdrawn;
@@ -166,7 +166,7 @@
     if (owned.m_isToldOver || !owned.m_isAccepted)
         return;
     owned.m_isToldOver = true;
-    emit(TellOver{owned.m_job.m_id, stateOf(owned)});
+    emit(ReportEnded{owned.m_job.m_id, stateOf(owned)});
 }
 
 /// Tells the callers of an ended job while the log is out of reach. A failure is told as it is; an
@@ -180,7 +180,7 @@
     if (owned.m_isToldProvisional || owned.m_isToldOver || !owned.m_isAccepted)
         return;
     owned.m_isToldProvisional = true;
-    emit(TellOver{owned.m_job.m_id, JobState::Provisional});
+    emit(ReportEnded{owned.m_job.m_id, JobState::Provisional});
 }
 
 void JobTable::onTokens(const JobId &job, std::uint64_t attempt, std::int64_t firstToken,
@@ -235,9 +235,9 @@
     startAttempt(*owned, now);
 }
 
-void JobTable::onNotice(NoticeScope scope, TimePoint now)
+void JobTable::onReclaimNotice(ReclaimScope scope, TimePoint now)
 {
-    const bool isWider = scope == NoticeScope::OwnDataCentre && m_notice == NoticeScope::OwnVm;
+    const bool isWider = scope == ReclaimScope::OwnDataCentre && m_notice == ReclaimScope::OwnVm;
     if (m_notice && !isWider)
         return;
     m_notice = scope;
--- a/src/jobs/job_table_log.cpp
+++ b/src/jobs/job_table_log.cpp
@@ -68,7 +68,7 @@
     return followed.m_isCaughtUp ? &followed : nullptr;
 }
 
-void JobTable::onPlatform(bool up, TimePoint now)
+void JobTable::onPlatformChanged(bool up, TimePoint now)
 {
     if (up == m_platformUp)
         return;
@@ -211,7 +211,7 @@
     if (owned.m_mode == Mode::Normal) {
         const std::int64_t had = owned.m_job.m_answer.tokens();
         const EpochCheck check = logged.m_epochs.check(owned.m_job.m_epochs.current(), had, had);
-        const auto *back = std::get_if<CutBackTo>(&check);
+        const auto *back = std::get_if<DiscardAfter>(&check);
         ++m_counters.m_fenced;
         m_counters.m_tokensLost +=
                 static_cast<std::uint64_t>(back == nullptr ? 0 : had - back->m_offset);
@@ -219,7 +219,7 @@
     if (owned.m_mode == Mode::TakingOver)
         forgetCopy(job);
     if (owned.m_mode == Mode::Normal || owned.m_mode == Mode::HandingOver)
-        emit(TellReattach{job, logged.m_owner.m_node});
+        emit(RequestReattach{job, logged.m_owner.m_node});
     m_owned.erase(job);
 }
 
@@ -228,7 +228,7 @@
     if (!owned.m_isToldProvisional)
         return;
     ++m_counters.m_overruled;
-    emit(TellOverruled{owned.m_job.m_id, logged.m_owner.m_node});
+    emit(ReportOverruled{owned.m_job.m_id, logged.m_owner.m_node});
 }
 
 void JobTable::settle(OwnedJob &owned, const Job &logged, TimePoint now)
@@ -365,7 +365,7 @@
                                        std::int64_t to) const
 {
     AnswerText piece = job.m_answer;
-    piece.cutTo(to);
+    piece.truncateTo(to);
     wire::JobProgress progress;
     progress.job = job.m_id.text();
     progress.epoch = epoch;
--- a/src/jobs/job_table_peers.cpp
+++ b/src/jobs/job_table_peers.cpp
@@ -54,7 +54,7 @@
 {
     return choosePeer(m_peers, owned.m_job.m_id, [&](const JobPeer &peer) {
         const bool isOutside = peer.m_dataCentre != m_settings.m_dataCentre;
-        return (isOutside || m_notice != NoticeScope::OwnDataCentre) && !peer.m_leaving
+        return (isOutside || m_notice != ReclaimScope::OwnDataCentre) && !peer.m_leaving
                && !m_dead.contains(peer.m_process)
                && !owned.m_successorsTried.contains(peer.m_process.m_node);
     });
@@ -67,7 +67,7 @@
     if (!m_platformUp)
         return true;
     const bool isWaiting =
-            !owned.m_isAccepted && now - owned.m_offeredAt >= m_settings.m_peerFallback;
+            !owned.m_isAccepted && now - owned.m_offeredAt >= m_settings.m_peerFallbackDelay;
     return isWaiting || owned.m_holder.has_value();
 }
 
@@ -351,7 +351,7 @@
     ++m_counters.m_handedOver;
     m_handedTo[job] = {peer, owned->m_job.m_request.m_member};
     releaseCopies(*owned, peer);
-    emit(TellReattach{job, peer});
+    emit(RequestReattach{job, peer});
     m_owned.erase(job);
 }
 
--- a/src/jobs/job_table_read.cpp
+++ b/src/jobs/job_table_read.cpp
@@ -29,11 +29,11 @@
                         return ServeFrom{from, job.m_answer.from(at.m_offset), job.m_epochs, state,
                                          job.m_finishReason};
                     },
-                    [](const CutBackTo &back) -> ReattachAnswer {
-                        return CutBack{{back.m_epoch, back.m_offset}};
+                    [](const DiscardAfter &back) -> ReattachAnswer {
+                        return DiscardTokens{{back.m_epoch, back.m_offset}};
                     },
                     [&](const UnknownEpoch &) -> ReattachAnswer {
-                        return CutBack{{job.m_epochs.current(), 0}};
+                        return DiscardTokens{{job.m_epochs.current(), 0}};
                     },
             },
             check);
@@ -53,7 +53,7 @@
     if (const auto handed = m_handedTo.find(job); handed != m_handedTo.end()) {
         if (handed->second.m_member != member)
             return unknownJob();
-        return AskNode{handed->second.m_node};
+        return RedirectToNode{handed->second.m_node};
     }
     if (const auto copy = m_copyOwners.find(job); copy != m_copyOwners.end()) {
         const Job *held = m_copies.find(job);
@@ -61,7 +61,7 @@
             return unknownJob();
         if (m_dead.contains(copy->second))
             return Error{ErrorId::NotReady, "the job's owner is gone"};
-        return AskNode{copy->second.m_node};
+        return RedirectToNode{copy->second.m_node};
     }
     return reattachLogged(job, member, position, now);
 }
@@ -79,7 +79,7 @@
     const bool isRead = found != m_logs.end() && found->second.m_isCaughtUp;
     if (!isRead) {
         if (isOriginLive && !m_platformUp)
-            return AskNode{origin.m_node};
+            return RedirectToNode{origin.m_node};
         if (!m_platformUp)
             return Error{ErrorId::PlatformUnreachable, "the job's log can't be read now"};
         follow(*log, now);
@@ -93,14 +93,14 @@
             return serve(*logged, stateOfPhase(logged->m_phase), position);
         if (logged->m_owner == m_settings.m_self || m_dead.contains(logged->m_owner))
             return Error{ErrorId::NotReady, "the job is being taken over"};
-        return AskNode{logged->m_owner.m_node};
+        return RedirectToNode{logged->m_owner.m_node};
     }
     if (found->second.m_state.wasRemoved(job) || origin == m_settings.m_self)
         return unknownJob();
     if (isOriginLive)
-        return AskNode{origin.m_node};
+        return RedirectToNode{origin.m_node};
     const TimePoint reportsFrom = std::max(m_platformUpSince, found->second.m_originSeenAt);
-    if (!m_platformUp || now - reportsFrom < m_settings.m_settleTime)
+    if (!m_platformUp || now - reportsFrom < m_settings.m_unknownJobDelay)
         return Error{ErrorId::NotReady, "the job's holder may still have to report"};
     // Guards against an old reading: a job may have been accepted by the log while this node was
     // paused, and its caller was told that there is none. That it isn't there is known only of a
--- a/src/jobs/job_table_takeover.cpp
+++ b/src/jobs/job_table_takeover.cpp
@@ -155,16 +155,16 @@
         if (isDue && isSettled && followed.m_isCaughtUp)
             takeOverLog(log, followed, now);
         const bool isUsed = log == m_ownLog || followed.m_takeOverAt || !m_platformUp
-                            || now - followed.m_usedAt < m_settings.m_logIdle;
+                            || now - followed.m_usedAt < m_settings.m_logIdleTimeout;
         if (!isUsed)
             idle.push_back(log);
     }
     for (const JobLogId &log : idle) {
-        emit(LeaveLog{log});
+        emit(UnfollowLog{log});
         m_logs.erase(log);
     }
     const auto isForgotten = [&](const auto &entry) {
-        return now - entry.second > m_settings.m_maximumLife + m_settings.m_retention;
+        return now - entry.second > m_settings.m_maximumJobAge + m_settings.m_retention;
     };
     std::erase_if(m_dead, isForgotten);
     std::erase_if(m_missingSince, isForgotten);
--- a/src/kernel/caller_api.cpp
+++ b/src/kernel/caller_api.cpp
@@ -127,7 +127,7 @@
     if (from.empty())
         from = request.parameter("from").value_or("");
     if (!from.empty()) {
-        const auto parsed = positionFrom(from);
+        const auto parsed = parsePosition(from);
         if (!parsed) {
             responder.send(
                     errorReply({ErrorId::RequestMalformed, "a position is written EPOCH:OFFSET"}));
--- a/src/kernel/claim_driver.cpp
+++ b/src/kernel/claim_driver.cpp
@@ -172,7 +172,7 @@
     });
 }
 
-void ClaimDriver::execute(const ShardTrouble &event)
+void ClaimDriver::execute(const ShardProblem &event)
 {
     m_context.m_log.warning("claim-shard-trouble", {{LogField::Shard, event.m_shard}});
 }
--- a/src/kernel/control.cpp
+++ b/src/kernel/control.cpp
@@ -295,7 +295,7 @@
     }
     const bool isZone = notice.m_cause == LeavingCause::ZoneReclaim;
     // Jobs move at once: the notice may be shorter than it says.
-    m_jobs.onNotice(isZone ? NoticeScope::OwnDataCentre : NoticeScope::OwnVm);
+    m_jobs.onReclaimNotice(isZone ? ReclaimScope::OwnDataCentre : ReclaimScope::OwnVm);
     shutDown(isZone ? DrainCause::ZoneReclaim : DrainCause::VmReclaim, deadline);
 }
 
@@ -423,7 +423,7 @@
 void Control::execute(const HandOverJobs &command)
 {
     m_context.m_log.info("jobs-handed-over", {{LogField::Reason, command.m_reason}});
-    m_jobs.onNotice(NoticeScope::OwnVm);
+    m_jobs.onReclaimNotice(ReclaimScope::OwnVm);
 }
 
 void Control::execute(const CutRemaining &command)
--- a/src/kernel/engine_call.cpp
+++ b/src/kernel/engine_call.cpp
@@ -83,7 +83,7 @@
     if (!succeeded(fed))
         return failed(errorOf(fed));
     progress.m_to = m_assembler.answer().tokens();
-    progress.m_isWhole = m_assembler.isWhole();
+    progress.m_isWhole = m_assembler.hasCompleteAnswer();
     if (!progress.m_isWhole)
         return progress;
     // The end marker was the last event; what is left is the body's own end, which lets the
@@ -101,18 +101,18 @@
         return errorOf(event);
     if (const auto *token = std::get_if<TokenEvent>(&valueOf(event))) {
         // Events of other attempts, late or crossed, are dropped and counted by the assembler.
-        const EventVerdict verdict = m_assembler.take(*token);
+        const EventVerdict verdict = m_assembler.addEvent(*token);
         if (verdict == EventVerdict::Gap)
             return Error{ErrorId::AnswerTruncated, "tokens are missing from the stream"};
     } else {
-        m_assembler.takeEndMarker(m_name);
+        m_assembler.receiveEndMarker(m_name);
     }
     return Done{};
 }
 
 EngineResult<EngineProgress> EngineCall::endOfBody()
 {
-    const auto ended = m_assembler.endAttempt();
+    const auto ended = m_assembler.attemptResult();
     if (!succeeded(ended))
         return failed(errorOf(ended));
     return failed({ErrorId::AnswerTruncated, "the stream ended without its end marker"});
--- a/src/kernel/job_call.cpp
+++ b/src/kernel/job_call.cpp
@@ -268,7 +268,7 @@
             serve(*served, feed);
             return;
         }
-        if (const auto *cut = std::get_if<CutBack>(&answer)) {
+        if (const auto *cut = std::get_if<DiscardTokens>(&answer)) {
             if (!begin())
                 return;
             m_position = cut->m_position;
@@ -276,7 +276,7 @@
                              fmt::format(R"({{"position":"{}"}})", toText(m_position)));
             continue;
         }
-        const auto *elsewhere = std::get_if<AskNode>(&answer);
+        const auto *elsewhere = std::get_if<RedirectToNode>(&answer);
         const bool isForwarded = original.m_headers.find(forwardedHeader).has_value();
         const auto located =
                 isForwarded ? std::nullopt : m_traffic.onControl([&](Control &control) {
--- a/src/kernel/job_driver.cpp
+++ b/src/kernel/job_driver.cpp
@@ -50,7 +50,7 @@
         if (isUp != m_platformUp) {
             m_platformUp = isUp;
             m_context.m_log.info("platform-state", {{LogField::State, isUp ? "up" : "down"}});
-            m_table.onPlatform(isUp, m_context.now());
+            m_table.onPlatformChanged(isUp, m_context.now());
         }
         m_table.tick(m_context.now(), m_context.wallNow());
         run();
@@ -89,7 +89,7 @@
             sleepFiber(logPoll);
             continue;
         }
-        if (const auto *cut = std::get_if<CutBack>(&answer))
+        if (const auto *cut = std::get_if<DiscardTokens>(&answer))
             countRecomputed(job, member, position.m_offset - cut->m_position.m_offset);
         std::shared_ptr<JobFeed> feed;
         const auto *serve = std::get_if<ServeFrom>(&answer);
@@ -190,9 +190,9 @@
     run();
 }
 
-void JobDriver::onNotice(NoticeScope scope)
+void JobDriver::onReclaimNotice(ReclaimScope scope)
 {
-    m_table.onNotice(scope, m_context.now());
+    m_table.onReclaimNotice(scope, m_context.now());
     run();
 }
 
@@ -266,7 +266,7 @@
     m_logs.follow(command.m_log);
 }
 
-void JobDriver::execute(const LeaveLog &command)
+void JobDriver::execute(const UnfollowLog &command)
 {
     m_logs.leave(command.m_log);
 }
@@ -350,7 +350,7 @@
     m_runAttempt.m_cancel(command);
 }
 
-void JobDriver::execute(const TellAccepted &command)
+void JobDriver::execute(const ReportAccepted &command)
 {
     m_context.m_metrics.add(Counter::JobsAccepted);
     m_context.m_journal.record(m_context.wallNow(), RequestId(command.m_job.text()),
@@ -358,17 +358,17 @@
     m_feeds.tell(command.m_job, FeedAccepted{}, false);
 }
 
-void JobDriver::execute(const TellRefused &command)
+void JobDriver::execute(const ReportRefused &command)
 {
     m_feeds.tell(command.m_job, FeedRefused{command.m_error}, true);
 }
 
-void JobDriver::execute(const TellReattach &command)
+void JobDriver::execute(const RequestReattach &command)
 {
     m_feeds.tell(command.m_job, FeedMoved{command.m_node}, true);
 }
 
-void JobDriver::execute(const TellOver &command)
+void JobDriver::execute(const ReportEnded &command)
 {
     const RequestId request(command.m_job.text());
     if (command.m_state == JobState::Provisional) {
@@ -386,7 +386,7 @@
     m_feeds.tell(command.m_job, FeedOver{command.m_state}, true);
 }
 
-void JobDriver::execute(const TellOverruled &command)
+void JobDriver::execute(const ReportOverruled &command)
 {
     m_context.m_metrics.add(Counter::JobsOverruled);
     m_context.m_log.warning("job-overruled", {{LogField::Job, command.m_job},
--- a/src/kernel/job_logs.cpp
+++ b/src/kernel/job_logs.cpp
@@ -143,7 +143,7 @@
 void JobLogs::trim(Log &log, Duration retention)
 {
     const auto horizon = std::chrono::duration_cast<std::chrono::milliseconds>(
-            JobTableSettings().m_maximumLife + retention);
+            JobTableSettings().m_maximumJobAge + retention);
     const WallMillis oldest = m_context.wallNow() - horizon.count();
     while (!log.m_segments.empty() && log.m_segments.front().m_writtenAt < oldest) {
         log.m_log->trimBefore(log.m_segments.front().m_number + 1);
--- a/src/ledger/claim_ledger.cpp
+++ b/src/ledger/claim_ledger.cpp
@@ -80,7 +80,7 @@
             isFresh || entry->m_outcome || m_attempts->find(*entry->m_standing) != nullptr;
     if (isFinal || entry->m_body != attempt.m_body)
         return decide(attempt, detail::resultOf(*entry, attempt.m_body));
-    const Duration outage = target.log().unavailableFor(moment.m_now);
+    const Duration outage = target.log().remainingBackoff(moment.m_now);
     if (outage > Duration::zero())
         return decide(attempt, NotRun{NotRunReason::PlatformOut, outage});
     // The attempt that stands may have ended since the log was last read.
@@ -91,7 +91,7 @@
 void ClaimLedger::appendClaim(ClaimAttempt &attempt, Moment moment)
 {
     ClaimShard &target = shard(attempt.m_shard);
-    const Duration outage = target.log().unavailableFor(moment.m_now);
+    const Duration outage = target.log().remainingBackoff(moment.m_now);
     if (target.isUnusable() || target.log().state(moment.m_now) == LogState::Corrupt)
         return decide(attempt, NotRun{NotRunReason::LogCorrupt, m_settings.m_retryAfter});
     if (outage > Duration::zero())
@@ -143,7 +143,7 @@
     }
     const bool isGone =
             !attempt.m_claim
-            || shard(attempt.m_shard).log().abandon(*attempt.m_claim) == Abandoned::NotWritten;
+            || shard(attempt.m_shard).log().abandon(*attempt.m_claim) == AbandonResult::NotWritten;
     if (isGone && attempt.m_claim)
         shard(attempt.m_shard).unlink(*attempt.m_claim);
     attempt.m_state = isGone ? ClaimState::Ended : ClaimState::Dead;
@@ -274,7 +274,7 @@
     for (const PlatformLogEvent &event : target.log().takeEvents())
         std::visit([this, number, moment](const auto &what) { handle(number, what, moment); },
                    event);
-    const Duration outage = target.log().unavailableFor(moment.m_now);
+    const Duration outage = target.log().remainingBackoff(moment.m_now);
     if (outage > Duration::zero())
         refuseWaiting(number, NotRun{NotRunReason::PlatformOut, outage}, moment);
     target.maintain(moment);
@@ -356,7 +356,7 @@
 template <typename Trouble>
 void ClaimLedger::reportTrouble(ShardNumber number, const Trouble &trouble)
 {
-    m_events.emplace_back(ShardTrouble{number, trouble});
+    m_events.emplace_back(ShardProblem{number, trouble});
 }
 
 void ClaimLedger::refuseWaiting(ShardNumber number, const NotRun &result, Moment moment)
@@ -397,7 +397,7 @@
 void ClaimLedger::dropIdleShards(Moment moment)
 {
     std::erase_if(m_loaded, [this, moment](const auto &loaded) {
-        return loaded.second->isIdle(moment.m_now, m_settings.m_idleShard)
+        return loaded.second->isIdle(moment.m_now, m_settings.m_shardIdleTimeout)
                && !m_attempts->hasAnyOf(loaded.first);
     });
 }
--- a/src/ledger/detail/claim_attempts.cpp
+++ b/src/ledger/detail/claim_attempts.cpp
@@ -78,7 +78,7 @@
     attempt.m_body = request.m_bodyDigest;
     attempt.m_shard = shardOfDigest(attempt.m_key, settings.m_shards);
     attempt.m_deadline = request.m_deadline;
-    attempt.m_giveUpAt = std::min(request.m_deadline, moment.m_now + settings.m_patience);
+    attempt.m_giveUpAt = std::min(request.m_deadline, moment.m_now + settings.m_claimTimeout);
     return attempt;
 }
 
--- a/src/ledger/detail/claim_shard.cpp
+++ b/src/ledger/detail/claim_shard.cpp
@@ -18,14 +18,14 @@
 {
     return PlatformLogBuilder(settings.m_writer)
             .writeInterval(settings.m_writeInterval)
-            .trustEnd(settings.m_trustEnd)
+            .endTrustDuration(settings.m_endTrustDuration)
             .build();
 }
 
 } // namespace
 
 ClaimShard::ClaimShard(const ClaimLedgerSettings &settings)
-    : m_compactAbove(settings.m_compactAbove)
+    : m_compactionThreshold(settings.m_compactionThreshold)
     , m_trimDelay(settings.m_trimDelay)
     , m_log(makeLog(settings))
     , m_table(settings.m_clockTolerance, settings.m_maxAnswerMemory)
@@ -89,7 +89,8 @@
     const SegmentNumber first =
             std::max(m_covered + 1, m_seen.empty() ? 1 : m_seen.front().m_number);
     const std::size_t length = m_log.nextNumber() - std::min(first, m_log.nextNumber());
-    const std::size_t limit = std::max(m_compactAbove, compactionFactor * m_restatedSegments);
+    const std::size_t limit =
+            std::max(m_compactionThreshold, compactionFactor * m_restatedSegments);
     if (!isWriter || length <= limit)
         return;
     // What is restated from now on is known up to here; the segments behind stay and are read after
--- a/src/ledger/detail/claim_shard.hpp
+++ b/src/ledger/detail/claim_shard.hpp
@@ -65,7 +65,7 @@
     void continueCompaction();
     void permitTrimming(Moment moment);
 
-    std::size_t m_compactAbove;
+    std::size_t m_compactionThreshold;
     Duration m_trimDelay;
     PlatformLog m_log;
     ClaimTable m_table;
--- a/src/ledger/order_lease.cpp
+++ b/src/ledger/order_lease.cpp
@@ -72,7 +72,7 @@
 {
     m_readNeeded = false;
     m_missingSince.reset();
-    m_nextTry = now + m_settings.m_readEvery;
+    m_nextTry = now + m_settings.m_readInterval;
     if (m_seen && m_seen->m_version == version)
         return onUnchanged(now);
     const Result<wire::OrderLeaseBody> decoded = wire::decode<wire::OrderLeaseBody>(body);
@@ -108,7 +108,7 @@
 void OrderLease::onMissing(TimePoint now)
 {
     m_readNeeded = false;
-    m_nextTry = now + m_settings.m_readEvery;
+    m_nextTry = now + m_settings.m_readInterval;
     if (!m_missingSince)
         m_missingSince = now;
     m_held.reset();
@@ -143,7 +143,7 @@
     return m_held;
 }
 
-std::optional<FencingNumber> OrderLease::fenceForUnchecked(TimePoint now) const
+std::optional<FencingNumber> OrderLease::fenceForUncheckedEngine(TimePoint now) const
 {
     if (now < m_takenAt + m_settings.m_longestPause)
         return std::nullopt;
--- a/src/ledger/order_reconciler.cpp
+++ b/src/ledger/order_reconciler.cpp
@@ -16,7 +16,7 @@
 {
     for (auto &[id, engine] : m_engines) {
         const bool isChecked = engine.m_fencing == Fencing::Checked;
-        const auto fence = isChecked ? lease.fence(now) : lease.fenceForUnchecked(now);
+        const auto fence = isChecked ? lease.fence(now) : lease.fenceForUncheckedEngine(now);
         if (engine.m_outstanding || !fence)
             continue;
         if (!engine.m_state && now < engine.m_readAt)
@@ -33,7 +33,7 @@
     return std::nullopt;
 }
 
-void OrderReconciler::onOrdered(const UpstreamId &engine)
+void OrderReconciler::onOrderAnswered(const UpstreamId &engine)
 {
     const auto found = m_engines.find(engine);
     if (found == m_engines.end())
@@ -51,7 +51,7 @@
         return;
     found->second.m_outstanding = false;
     found->second.m_state = state;
-    found->second.m_readAt = now + m_readEvery;
+    found->second.m_readAt = now + m_readInterval;
 }
 
 bool OrderReconciler::isConverged() const
--- a/src/ledger/platform_log.cpp
+++ b/src/ledger/platform_log.cpp
@@ -101,8 +101,8 @@
     if (!m_endSeen)
         return false;
     // Both clocks, because the monotonic one stands still while a VM is suspended.
-    return moment.m_now - m_endSeen->m_now < m_settings.m_trustEnd
-           && isWithin(m_endSeen->m_wall, moment.m_wall, m_settings.m_trustEnd);
+    return moment.m_now - m_endSeen->m_now < m_settings.m_endTrustDuration
+           && isWithin(m_endSeen->m_wall, moment.m_wall, m_settings.m_endTrustDuration);
 }
 
 bool PlatformLog::canTrim() const
@@ -423,7 +423,7 @@
     return LogState::UpToDate;
 }
 
-Duration PlatformLog::unavailableFor(TimePoint now) const
+Duration PlatformLog::remainingBackoff(TimePoint now) const
 {
     if (m_failures == 0 || now >= m_retryAt)
         return Duration::zero();
--- a/src/ledger/record_queue.cpp
+++ b/src/ledger/record_queue.cpp
@@ -16,7 +16,7 @@
     return m_lastTicket;
 }
 
-Abandoned RecordQueue::abandon(LogTicket ticket)
+AbandonResult RecordQueue::abandon(LogTicket ticket)
 {
     const auto hasTicket = [ticket](const QueuedRecord &record) {
         return record.m_ticket == ticket;
@@ -25,12 +25,12 @@
     if (waiting != m_waiting.end()) {
         m_waitingBytes -= waiting->m_record.size();
         m_waiting.erase(waiting);
-        return Abandoned::NotWritten;
+        return AbandonResult::NotWritten;
     }
     const auto underWay = std::find_if(m_batch.begin(), m_batch.end(), hasTicket);
     if (underWay != m_batch.end())
         underWay->m_abandoned = true;
-    return Abandoned::MayBeWritten;
+    return AbandonResult::MayBeWritten;
 }
 
 void RecordQueue::fillBatch()
--- a/tests/src/fuzz-claim-ledger.cpp
+++ b/tests/src/fuzz-claim-ledger.cpp
@@ -185,12 +185,12 @@
                                .shards(2)
                                .retention(retention)
                                .clockTolerance(5s)
-                               .patience(5s)
+                               .claimTimeout(5s)
                                .trimDelay(2min)
-                               .trustEnd(30s)
-                               .compactAbove(6)
+                               .endTrustDuration(30s)
+                               .compactionThreshold(6)
                                .writeInterval(0ms)
-                               .idleShard(1min);
+                               .shardIdleTimeout(1min);
         node.m_node = std::make_unique<ClaimNode>(name, life, builder);
     }
 
@@ -242,8 +242,8 @@
     {
         const std::string key = fmt::format("key{}", draw.below(keyCount));
         const std::string body = draw.below(8) == 0 ? "other" : "body";
-        const Duration patience = draw.below(2) == 0 ? Duration(2s) : Duration(2min);
-        ClaimRequest request = m_nodes[index].m_node->request("m", key, body, m_now + patience);
+        const Duration claimTimeout = draw.below(2) == 0 ? Duration(2s) : Duration(2min);
+        ClaimRequest request = m_nodes[index].m_node->request("m", key, body, m_now + claimTimeout);
         m_oracle.requested(request);
         return request;
     }
--- a/tests/src/unit-answer-assembler.cpp
+++ b/tests/src/unit-answer-assembler.cpp
@@ -46,16 +46,16 @@
 {
     AnswerAssembler assembler;
     assembler.beginAttempt("a");
-    REQUIRE(assembler.take(token("a", 0, "M8 ")) == EventVerdict::Taken);
-    REQUIRE(assembler.take(token("a", 1, "x 40")) == EventVerdict::Taken);
+    REQUIRE(assembler.addEvent(token("a", 0, "M8 ")) == EventVerdict::Taken);
+    REQUIRE(assembler.addEvent(token("a", 1, "x 40")) == EventVerdict::Taken);
 
     SECTION("it is whole with a finish reason and the end marker")
     {
-        CHECK(assembler.take(token("a", 2, "", "stop")) == EventVerdict::Taken);
-        CHECK_FALSE(assembler.isWhole());
-        CHECK(assembler.takeEndMarker("a") == EventVerdict::Taken);
-        CHECK(assembler.isWhole());
-        CHECK(succeeded(assembler.endAttempt()));
+        CHECK(assembler.addEvent(token("a", 2, "", "stop")) == EventVerdict::Taken);
+        CHECK_FALSE(assembler.hasCompleteAnswer());
+        CHECK(assembler.receiveEndMarker("a") == EventVerdict::Taken);
+        CHECK(assembler.hasCompleteAnswer());
+        CHECK(succeeded(assembler.attemptResult()));
         CHECK(assembler.answer().text() == "M8 x 40");
         CHECK(assembler.answer().tokens() == 2);
     }
@@ -65,10 +65,10 @@
         // The runner dies in the middle of a quote; its connection ends in good order, because a
         // proxy in between closes it. Without finish reason and marker the buyer would be shown
         // half a bill of materials as the whole.
-        CHECK(errorOf(assembler.endAttempt()).m_id == ErrorId::AnswerTruncated);
-        assembler.takeEndMarker("a");
-        CHECK_FALSE(assembler.isWhole());
-        CHECK(errorOf(assembler.endAttempt()).m_id == ErrorId::AnswerTruncated);
+        CHECK(errorOf(assembler.attemptResult()).m_id == ErrorId::AnswerTruncated);
+        assembler.receiveEndMarker("a");
+        CHECK_FALSE(assembler.hasCompleteAnswer());
+        CHECK(errorOf(assembler.attemptResult()).m_id == ErrorId::AnswerTruncated);
     }
 
     SECTION("events of another attempt, doubled ones and late ones are dropped and counted")
@@ -77,13 +77,13 @@
         // and on a connection used before. Taken in, they would put a stranger's words or old
         // words into the answer.
         assembler.beginAttempt("b");
-        CHECK(assembler.take(token("a", 2, "stranger")) == EventVerdict::OtherAttempt);
-        CHECK(assembler.takeEndMarker("a") == EventVerdict::OtherAttempt);
-        CHECK(assembler.take(token("b", 1, "x 50")) == EventVerdict::Duplicate);
-        CHECK(assembler.take(token("b", 2, " zinc", "stop")) == EventVerdict::Taken);
-        CHECK(assembler.take(token("b", 3, "more")) == EventVerdict::AfterFinish);
-        assembler.takeEndMarker("b");
-        CHECK(assembler.isWhole());
+        CHECK(assembler.addEvent(token("a", 2, "stranger")) == EventVerdict::OtherAttempt);
+        CHECK(assembler.receiveEndMarker("a") == EventVerdict::OtherAttempt);
+        CHECK(assembler.addEvent(token("b", 1, "x 50")) == EventVerdict::Duplicate);
+        CHECK(assembler.addEvent(token("b", 2, " zinc", "stop")) == EventVerdict::Taken);
+        CHECK(assembler.addEvent(token("b", 3, "more")) == EventVerdict::AfterFinish);
+        assembler.receiveEndMarker("b");
+        CHECK(assembler.hasCompleteAnswer());
         CHECK(assembler.answer().text() == "M8 x 40 zinc");
         CHECK(assembler.counters().m_otherAttempt == 2);
         CHECK(assembler.counters().m_duplicates == 1);
@@ -93,13 +93,13 @@
 
     SECTION("a gap fails the attempt for good, and the next one resumes before it")
     {
-        CHECK(assembler.take(token("a", 3, "lost one")) == EventVerdict::Gap);
-        CHECK(assembler.take(token("a", 2, "too late")) == EventVerdict::Gap);
-        CHECK(errorOf(assembler.endAttempt()).m_id == ErrorId::AnswerTruncated);
+        CHECK(assembler.addEvent(token("a", 3, "lost one")) == EventVerdict::Gap);
+        CHECK(assembler.addEvent(token("a", 2, "too late")) == EventVerdict::Gap);
+        CHECK(errorOf(assembler.attemptResult()).m_id == ErrorId::AnswerTruncated);
         assembler.beginAttempt("b");
-        CHECK(assembler.take(token("b", 2, "!", "stop")) == EventVerdict::Taken);
-        assembler.takeEndMarker("b");
-        CHECK(assembler.isWhole());
+        CHECK(assembler.addEvent(token("b", 2, "!", "stop")) == EventVerdict::Taken);
+        assembler.receiveEndMarker("b");
+        CHECK(assembler.hasCompleteAnswer());
     }
 }
 
--- a/tests/src/unit-checkpoint.cpp
+++ b/tests/src/unit-checkpoint.cpp
@@ -76,7 +76,7 @@
         // The caller has read 80 tokens of epoch 1 when its node dies; the last checkpoint has 64.
         // The successor goes on from there, and being sampled, its tokens differ. By its offset
         // alone the caller would be served from 80 on, with 16 tokens that belong to no answer.
-        CHECK(history.check(1, 80, 100) == EpochCheck(CutBackTo{2, 64}));
+        CHECK(history.check(1, 80, 100) == EpochCheck(DiscardAfter{2, 64}));
         CHECK(history.check(2, 80, 100) == EpochCheck(ContinueAt{80}));
     }
 
@@ -91,8 +91,8 @@
     SECTION("a later epoch that begins earlier takes away from all before it")
     {
         history.begin(5, 40);
-        CHECK(history.check(2, 70, 100) == EpochCheck(CutBackTo{5, 40}));
-        CHECK(history.check(1, 50, 100) == EpochCheck(CutBackTo{5, 40}));
+        CHECK(history.check(2, 70, 100) == EpochCheck(DiscardAfter{5, 40}));
+        CHECK(history.check(1, 50, 100) == EpochCheck(DiscardAfter{5, 40}));
         CHECK(history.check(1, 40, 100) == EpochCheck(ContinueAt{40}));
         CHECK(history.epochAt(39) == 1);
         CHECK(history.epochAt(90) == 5);
@@ -107,15 +107,15 @@
 
     SECTION("more than there is, is cut back to the end")
     {
-        CHECK(history.check(2, 120, 100) == EpochCheck(CutBackTo{2, 100}));
+        CHECK(history.check(2, 120, 100) == EpochCheck(DiscardAfter{2, 100}));
     }
 
     SECTION("positions are read and written")
     {
         CHECK(toText(AnswerPosition{3, 17}) == "3:17");
-        CHECK(positionFrom("3:17") == AnswerPosition{3, 17});
+        CHECK(parsePosition("3:17") == AnswerPosition{3, 17});
         for (const char *text :
              {"", "3", ":", "3:", "3:x", "-1:2", "3:17 ", "3:99999999999999999999"})
-            CHECK_FALSE(positionFrom(text).has_value());
+            CHECK_FALSE(parsePosition(text).has_value());
     }
 }
--- a/tests/src/unit-claim-ledger.cpp
+++ b/tests/src/unit-claim-ledger.cpp
@@ -201,7 +201,7 @@
                        ClaimLedgerBuilder(NodeId("c"), "c#1")
                                .shards(1)
                                .writeInterval(0ms)
-                               .compactAbove(16)};
+                               .compactionThreshold(16)};
         for (int count = 0; count < 40; ++count)
             runsWithoutAnswer(busy, fmt::format("k{}", count));
         elapse(11min);
--- a/tests/src/unit-job-outage.cpp
+++ b/tests/src/unit-job-outage.cpp
@@ -131,7 +131,7 @@
     JobWorld::Caller early{job};
     CHECK(world.poll(early, k_owner) == "");
     CHECK_FALSE(early.m_isWhole);
-    const std::size_t holder = world.table(k_other).copiesHeld() > 0 ? k_other : k_third;
+    const std::size_t holder = world.table(k_other).heldCopyCount() > 0 ? k_other : k_third;
     world.crash(k_owner);
     world.crash(holder);
     world.settle(k_takeoverSteps);
@@ -167,7 +167,7 @@
     const JobId id = world.jobs()[job].m_id;
     world.settle();
     world.generate(k_third, 4);
-    world.notice(k_third, NoticeScope::OwnVm);
+    world.notice(k_third, ReclaimScope::OwnVm);
     // Neither finds the offer in the log, so both append it.
     world.setPlatform(true);
     world.step();
@@ -192,7 +192,7 @@
     CHECK(world.pry(job, k_other) == "");
     world.settle(1);
     REQUIRE(world.jobs()[job].m_isAccepted);
-    world.notice(k_third, NoticeScope::OwnVm);
+    world.notice(k_third, ReclaimScope::OwnVm);
     world.setPlatform(false);
     world.deliverAll();
     world.step();
@@ -218,7 +218,7 @@
     world.settle();
     REQUIRE(world.jobs()[job].m_isAccepted);
     constexpr std::size_t k_fourth = 3;
-    const std::size_t holder = world.table(k_third).copiesHeld() > 0 ? k_third : k_fourth;
+    const std::size_t holder = world.table(k_third).heldCopyCount() > 0 ? k_third : k_fourth;
     const std::size_t asked = holder == k_third ? k_fourth : k_third;
     world.pause(holder);
     world.crash(k_owner);
@@ -244,7 +244,7 @@
     world.settle();
     world.generate(k_owner, JobWorld::k_answerTokens);
     world.settle();
-    world.notice(k_owner, NoticeScope::OwnVm);
+    world.notice(k_owner, ReclaimScope::OwnVm);
     // The hand-overs come twice, and the answers to the first ones are lost.
     const std::size_t handOvers = world.messages().size();
     for (std::size_t index = 0; index < handOvers; ++index)
@@ -253,7 +253,7 @@
         return std::holds_alternative<AnswerHandOver>(message.m_body);
     });
     // A successor leaves before it hears that the first owner does.
-    world.notice(k_other, NoticeScope::OwnVm);
+    world.notice(k_other, ReclaimScope::OwnVm);
     world.settle(k_takeoverSteps);
     world.setPlatform(true);
     world.settle(k_takeoverSteps);
--- a/tests/src/unit-job-table.cpp
+++ b/tests/src/unit-job-table.cpp
@@ -58,11 +58,11 @@
         const std::size_t job = *world.offer(k_entry, "roper");
         world.deliverAll();
         CHECK(world.jobs()[job].m_isAccepted);
-        CHECK(world.table(1).copiesHeld() + world.table(2).copiesHeld() == 1);
+        CHECK(world.table(1).heldCopyCount() + world.table(2).heldCopyCount() == 1);
         world.setPlatform(true);
         world.settle();
         CHECK(world.isLogged(world.jobs()[job].m_id));
-        CHECK(world.table(1).copiesHeld() + world.table(2).copiesHeld() == 0);
+        CHECK(world.table(1).heldCopyCount() + world.table(2).heldCopyCount() == 0);
     }
 
     SECTION("neither can be had: refused at once")
@@ -86,7 +86,7 @@
         CHECK(world.jobs()[job].m_isRefused);
         world.deliverAll();
         CHECK_FALSE(world.jobs()[job].m_isAccepted);
-        CHECK(world.table(1).copiesHeld() + world.table(2).copiesHeld() == 0);
+        CHECK(world.table(1).heldCopyCount() + world.table(2).heldCopyCount() == 0);
         CHECK(world.owners(world.jobs()[job].m_id) == 0);
     }
 
@@ -132,7 +132,7 @@
 
     SECTION("of the entry VM: all tokens travel, none is generated twice")
     {
-        world.notice(k_entry, NoticeScope::OwnVm);
+        world.notice(k_entry, ReclaimScope::OwnVm);
         world.settle(2);
         CHECK(world.table(k_entry).isDrained());
         const std::size_t successor = *world.runner(id);
@@ -155,7 +155,7 @@
     {
         // The notice has come and the hand-over is under way, when the process dies and the message
         // with it. What the log or the holder has is gone on with; the caller is cut back to it.
-        world.notice(k_entry, NoticeScope::OwnVm);
+        world.notice(k_entry, ReclaimScope::OwnVm);
         world.messages().clear();
         world.crash(k_entry);
         world.settle(5);
@@ -168,7 +168,7 @@
     {
         // The successor has taken the job, its answer is lost, and the hand-over comes again. Taken
         // twice, two generations would share an epoch and a caller could mix them.
-        world.notice(k_entry, NoticeScope::OwnVm);
+        world.notice(k_entry, ReclaimScope::OwnVm);
         world.deliver(0);
         world.messages().clear();
         CHECK(world.owners(id) == 1);
@@ -196,7 +196,7 @@
     const std::size_t job = *world.offer(2, "roper");
     world.deliverAll();
     REQUIRE(world.jobs()[job].m_isAccepted);
-    world.notice(2, NoticeScope::OwnVm);
+    world.notice(2, ReclaimScope::OwnVm);
     world.deliver(0);
     const std::size_t successor = world.runner(world.jobs()[job].m_id).value();
     world.noticeDataCentre(world.nodes()[successor].m_dataCentre);
--- a/tests/src/unit-order-lease.cpp
+++ b/tests/src/unit-order-lease.cpp
@@ -67,9 +67,9 @@
     {
         elapse({&b}, platform, now, 15);
         REQUIRE(b.isHeld(now));
-        CHECK_FALSE(b.fenceForUnchecked(now));
+        CHECK_FALSE(b.fenceForUncheckedEngine(now));
         elapse({&b}, platform, now, 30);
-        CHECK(b.fenceForUnchecked(now));
+        CHECK(b.fenceForUncheckedEngine(now));
     }
 
     SECTION("a renewal whose answer is lost")
@@ -140,7 +140,7 @@
             while (const auto command = reconciler.next(a, now)) {
                 if (const auto *order = std::get_if<SendOrder>(&*command)) {
                     state = order->m_order;
-                    reconciler.onOrdered(engine);
+                    reconciler.onOrderAnswered(engine);
                 } else {
                     reconciler.onRead(engine, state, now);
                 }
--- a/tests/src/unit-platform-log.cpp
+++ b/tests/src/unit-platform-log.cpp
@@ -14,7 +14,7 @@
 struct Node
 {
     explicit Node(const std::string &writer)
-        : m_log(PlatformLogBuilder(writer).writeInterval(0ms).trustEnd(1min).build())
+        : m_log(PlatformLogBuilder(writer).writeInterval(0ms).endTrustDuration(1min).build())
     {}
 
     /// Carries commands out until none is left, and keeps the events.
@@ -141,14 +141,14 @@
 
         SECTION("that was never sent is certain")
         {
-            CHECK(a.m_log.abandon(ticket) == Abandoned::NotWritten);
+            CHECK(a.m_log.abandon(ticket) == AbandonResult::NotWritten);
             a.settle(platform, start);
             CHECK(platform.m_segments.empty());
         }
         SECTION("that is under way is not, until another's segment has its number")
         {
             const CreateSegment create = nextCreate(a, platform, start);
-            CHECK(a.m_log.abandon(ticket) == Abandoned::MayBeWritten);
+            CHECK(a.m_log.abandon(ticket) == AbandonResult::MayBeWritten);
             a.answer(LogAnswerLost{}, start);
             REQUIRE(succeeded(b.m_log.append("y")));
             b.settle(platform, start);
@@ -161,8 +161,8 @@
         {
             nextCreate(a, platform, start);
             a.answer(LogRefused{1s}, start);
-            CHECK(a.m_log.unavailableFor(start.m_now) == 1s);
-            CHECK(a.m_log.abandon(ticket) == Abandoned::NotWritten);
+            CHECK(a.m_log.remainingBackoff(start.m_now) == 1s);
+            CHECK(a.m_log.abandon(ticket) == AbandonResult::NotWritten);
         }
     }
 
--- a/tests/src/unit-record-queue.cpp
+++ b/tests/src/unit-record-queue.cpp
@@ -59,10 +59,10 @@
         const LogTicket second = valueOf(queue.append("34"));
         queue.fillBatch();
         const LogTicket third = valueOf(queue.append("56"));
-        CHECK(queue.abandon(first) == Abandoned::MayBeWritten);
+        CHECK(queue.abandon(first) == AbandonResult::MayBeWritten);
         CHECK(queue.returnBatch() == std::vector{first});
         CHECK(queue.batch().empty());
-        CHECK(queue.abandon(third) == Abandoned::NotWritten);
+        CHECK(queue.abandon(third) == AbandonResult::NotWritten);
         CHECK(succeeded(queue.append("78")));
         CHECK(succeeded(queue.append("90")));
         CHECK(errorOf(queue.append("x")).m_id == ErrorId::QueueFull);
@@ -76,6 +76,6 @@
         const LogTicket ticket = valueOf(queue.append("1"));
         queue.fillBatch();
         queue.takeBatch();
-        CHECK(queue.abandon(ticket) == Abandoned::MayBeWritten);
+        CHECK(queue.abandon(ticket) == AbandonResult::MayBeWritten);
     }
 }
--- a/tests/support/job_trial.hpp
+++ b/tests/support/job_trial.hpp
@@ -140,7 +140,7 @@
             m_world.setReach(node, act == Act::FindReach);
             break;
         case Act::NoticeVm:
-            m_world.notice(node, NoticeScope::OwnVm);
+            m_world.notice(node, ReclaimScope::OwnVm);
             break;
         case Act::NoticeDataCentre:
             m_world.noticeDataCentre(m_world.nodes()[node].m_dataCentre);
--- a/tests/support/job_world.hpp
+++ b/tests/support/job_world.hpp
@@ -120,7 +120,7 @@
         settings.m_checkpoints = EveryTokens{3};
         settings.m_seed = static_cast<std::uint64_t>(m_incarnations);
         node.m_table = std::make_unique<JobTable>(settings);
-        node.m_table->onPlatform(reachesPlatform(index), m_now);
+        node.m_table->onPlatformChanged(reachesPlatform(index), m_now);
         pump(index);
         tellPeers();
     }
@@ -150,7 +150,7 @@
                       [index](const Message &message) { return message.m_to == index; });
     }
 
-    void notice(std::size_t index, NoticeScope scope)
+    void notice(std::size_t index, ReclaimScope scope)
     {
         Node &node = m_nodes[index];
         if (!node.isRunning())
@@ -161,7 +161,7 @@
                 job.m_losses += isLogged(job.m_id) ? 0 : 1;
         }
         node.m_isLeaving = true;
-        node.m_table->onNotice(scope, m_now);
+        node.m_table->onReclaimNotice(scope, m_now);
         pump(index);
     }
 
@@ -169,7 +169,7 @@
     {
         for (std::size_t index = 0; index < m_nodes.size(); ++index) {
             if (m_nodes[index].m_dataCentre == dataCentre)
-                notice(index, NoticeScope::OwnDataCentre);
+                notice(index, ReclaimScope::OwnDataCentre);
         }
     }
 
@@ -179,7 +179,7 @@
         for (std::size_t index = 0; index < m_nodes.size(); ++index) {
             if (!m_nodes[index].isRunning())
                 continue;
-            m_nodes[index].m_table->onPlatform(reachesPlatform(index), m_now);
+            m_nodes[index].m_table->onPlatformChanged(reachesPlatform(index), m_now);
             pump(index);
         }
     }
@@ -191,7 +191,7 @@
         node.m_hasReach = hasReach;
         if (!node.isRunning())
             return;
-        node.m_table->onPlatform(reachesPlatform(index), m_now);
+        node.m_table->onPlatformChanged(reachesPlatform(index), m_now);
         pump(index);
     }
 
@@ -204,7 +204,7 @@
         node.m_isSuspected = false;
         if (!node.isAlive())
             return;
-        node.m_table->onPlatform(reachesPlatform(index), m_now);
+        node.m_table->onPlatformChanged(reachesPlatform(index), m_now);
         pump(index);
     }
 
@@ -386,15 +386,15 @@
             const ReattachAnswer answer =
                     m_nodes[entry].m_table->reattach(job.m_id, job.m_member, position, m_now);
             pump(entry);
-            if (const auto *ask = std::get_if<AskNode>(&answer)) {
+            if (const auto *ask = std::get_if<RedirectToNode>(&answer)) {
                 const auto next = indexOf(ask->m_node);
                 if (!next)
                     return {};
                 entry = *next;
                 continue;
             }
-            if (const auto *back = std::get_if<CutBack>(&answer)) {
-                caller.m_have.cutTo(back->m_position.m_offset);
+            if (const auto *back = std::get_if<DiscardTokens>(&answer)) {
+                caller.m_have.truncateTo(back->m_position.m_offset);
                 caller.m_epoch = back->m_position.m_epoch;
                 continue;
             }
@@ -418,7 +418,7 @@
                 job.m_id, MemberId("stranger"), AnswerPosition{}, m_now);
         pump(entry);
         const bool isShown = std::holds_alternative<ServeFrom>(answer)
-                             || std::holds_alternative<CutBack>(answer);
+                             || std::holds_alternative<DiscardTokens>(answer);
         return isShown ? "a stranger was served" : "";
     }
 
@@ -629,7 +629,7 @@
                             [&](const FollowLog &follow) {
                                 node.m_readers[follow.m_log] = Reader{};
                             },
-                            [&](const LeaveLog &leave) { node.m_readers.erase(leave.m_log); },
+                            [&](const UnfollowLog &leave) { node.m_readers.erase(leave.m_log); },
                             [&](const HoldAtPeer &hold) { send(index, hold.m_peer, hold); },
                             [&](const ReleaseAtPeer &release) {
                                 send(index, release.m_peer, release);
@@ -648,18 +648,18 @@
                             [&](const CancelAttempt &cancel) {
                                 node.m_attempts.erase(cancel.m_job);
                             },
-                            [&](const TellAccepted &accepted) {
+                            [&](const ReportAccepted &accepted) {
                                 model(accepted.m_job)->m_isAccepted = true;
                             },
-                            [&](const TellRefused &refused) {
+                            [&](const ReportRefused &refused) {
                                 model(refused.m_job)->m_isRefused = true;
                             },
-                            [](const TellReattach &) {},
-                            [&](const TellOver &over) {
+                            [](const RequestReattach &) {},
+                            [&](const ReportEnded &over) {
                                 if (isOver(over.m_state))
                                     model(over.m_job)->m_isTold = true;
                             },
-                            [](const TellOverruled &) {},
+                            [](const ReportOverruled &) {},
                     },
                     command);
         }
--- a/tests/support/order_world.hpp
+++ b/tests/support/order_world.hpp
@@ -80,7 +80,7 @@
 
 /// How long an order may be held up between its check and the engine.
 enum class HoldUps {
-    /// No longer than the longest pause, which the wait of fenceForUnchecked() rests on.
+    /// No longer than the longest pause, which the wait of fenceForUncheckedEngine() rests on.
     Bounded,
     /// For any time, by pauses in a row.
     Unbounded,
@@ -184,7 +184,7 @@
     void arrive(OrderNode &node)
     {
         m_engines.order(*node.m_heldUp);
-        node.m_reconciler->onOrdered(node.m_heldUp->m_engine);
+        node.m_reconciler->onOrderAnswered(node.m_heldUp->m_engine);
         node.m_heldUp.reset();
     }
 
