--- a/bench/capacity/request_costs.cpp
+++ b/bench/capacity/request_costs.cpp
@@ -148,7 +148,7 @@
     request.m_member = MemberId(fmt::format("member-{}", number % 5));
     request.m_profile = ProfileId("phone");
     request.m_arrivedAt = now;
-    request.m_firstTokenBy = now + std::chrono::seconds(1);
+    request.m_firstTokenDeadline = now + std::chrono::seconds(1);
     request.m_promptTokens = 800;
     request.m_expectedTokens = 320;
     request.m_prefixBlocks = prefixBlocks(std::string(3200, static_cast<char>('a' + number % 26)));
@@ -228,7 +228,7 @@
                 continue;
             const RequestId done(fmt::format("request-{}", number - concurrent));
             controller.firstToken(done, now);
-            controller.attemptEnded(done, AttemptEnd::Completed, now);
+            controller.finishAttempt(done, AttemptEnd::Completed, now);
         }
         processor.add(upstreams, watch.nanos() / requests);
     }
--- a/bench/policy/experiments.cpp
+++ b/bench/policy/experiments.cpp
@@ -251,7 +251,7 @@
     }
     for (const Duration step : {2ms, 5ms, 10ms, 40ms, 80ms}) {
         Scenario scenario = withPrefixes("prefix-affinity", 1s);
-        scenario.m_routingSettings.m_queueingStep = step;
+        scenario.m_routingSettings.m_delayPerQueuedRequest = step;
         printRouting(fmt::format("prefix-affinity, step {} ms", toMillis(step)), scenario, seeds);
     }
 }
@@ -351,7 +351,7 @@
                 request.m_member = MemberId("a");
                 request.m_prefixBlocks = {static_cast<std::uint64_t>(at % 50), 7, 8, 9};
                 node.submit(request, now);
-                node.attemptEnded(RequestId(std::to_string(at - 100)), AttemptEnd::Completed, now);
+                node.finishAttempt(RequestId(std::to_string(at - 100)), AttemptEnd::Completed, now);
             }
             const std::chrono::duration<double, std::micro> passed =
                     std::chrono::steady_clock::now() - before;
--- a/bench/policy/scenario.cpp
+++ b/bench/policy/scenario.cpp
@@ -165,7 +165,7 @@
     // Between half and one and a half times the usual length.
     request.m_expectedTokens = static_cast<std::uint32_t>(load.m_answerTokens * (0.5 + random()));
     if (!m_scenario.m_ignoresTargets)
-        request.m_firstTokenBy = m_now + load.m_target;
+        request.m_firstTokenDeadline = m_now + load.m_target;
     if (load.m_prefixes > 0) {
         const std::uint64_t prefix = (std::uint64_t{m_random(load.m_prefixes)} + 1) << 32;
         for (std::uint32_t block = 0; block < load.m_prefixBlocks; ++block)
@@ -173,7 +173,7 @@
     }
     ++m_report.m_firstAttempts;
     ++m_report.m_outcomes[load.m_member + "/" + load.m_profile].m_submitted;
-    m_budgets[static_cast<std::size_t>(flight.m_node)].firstAttempt();
+    m_budgets[static_cast<std::size_t>(flight.m_node)].recordFirstAttempt();
     RetryProfile profile;
     flight.m_info = firstAttemptInfo(profile, std::nullopt);
     const int node = flight.m_node;
@@ -232,7 +232,7 @@
     attempt.m_deadline = flight.m_arrivedAt + flight.m_load->m_target;
     const RetryDecision decision =
             decideRetry(attempt, RetryProfile{}, m_budgets[node], m_now, m_random);
-    apply(flight.m_node, m_nodes[node].attemptEnded(id, AttemptEnd::Failed, m_now));
+    apply(flight.m_node, m_nodes[node].finishAttempt(id, AttemptEnd::Failed, m_now));
     const auto *retry = std::get_if<Retry>(&decision);
     if (retry == nullptr) {
         ++m_report.m_failedForGood;
@@ -242,7 +242,7 @@
     m_flights.at(id).m_info = retry->m_next;
     at(m_now + retry->m_backoff, [this, id] {
         Flight &again = m_flights.at(id);
-        again.m_request.m_tried.push_back(engineName(again.m_engine));
+        again.m_request.m_triedUpstreams.push_back(engineName(again.m_engine));
         const int to = again.m_node;
         apply(to, m_nodes[static_cast<std::size_t>(to)].submit(again.m_request, m_now));
     });
@@ -287,7 +287,7 @@
         return;
     const int to = flight.m_node;
     m_flights.erase(output.m_request);
-    apply(to, m_nodes[node].attemptEnded(output.m_request, AttemptEnd::Completed, m_now));
+    apply(to, m_nodes[node].finishAttempt(output.m_request, AttemptEnd::Completed, m_now));
 }
 
 void Simulation::exchangeHeartbeats()
--- a/include/gypsumdale/kernel/admission_driver.hpp
+++ b/include/gypsumdale/kernel/admission_driver.hpp
@@ -51,12 +51,12 @@
     void tokens(const ServiceId &service, const RequestId &request, std::uint32_t count);
     void usage(const ServiceId &service, const RequestId &request, std::uint32_t promptTokens,
                std::uint32_t generated);
-    void attemptEnded(const ServiceId &service, const RequestId &request, AttemptEnd end);
+    void finishAttempt(const ServiceId &service, const RequestId &request, AttemptEnd end);
 
     /// Decides about another attempt out of the service's budget.
     RetryDecision decideRetry(const ServiceId &service, const AttemptState &attempt,
                               const RetryProfile &profile);
-    void noteFirstAttempt(const ServiceId &service);
+    void onFirstAttempt(const ServiceId &service);
 
     void onPeerLoad(const NodeId &peer, const PeerLoad &load);
     void onSettingsChanged();
--- a/include/gypsumdale/kernel/control.hpp
+++ b/include/gypsumdale/kernel/control.hpp
@@ -34,17 +34,17 @@
         std::function<void(const UnfinishedWork &)> m_exit;
     };
 
-    Control(ControlContext context, RunAttempt runAttempt);
+    Control(ControlContext context, AttemptCallbacks runAttempt);
 
     /// Opens the peers' address and begins all duties; to be called in a fiber of the loop.
     Result<Done> start();
 
     /// Finds out who asks and under which promises. Fails with CredentialRefused, ProfileUnknown or
     /// ServiceUnknown; the texts say nothing of what exists for others.
-    Result<RequestContext> resolve(const CallerClaim &claim, RequestId id);
+    Result<RequestContext> resolve(const CallerHeaders &claim, RequestId id);
 
     /// Tells why requests are not taken now, or nothing.
-    std::optional<Error> notReady() const;
+    std::optional<Error> unreadyReason() const;
 
     /// Begins the graceful shutdown.
     void shutDown(DrainCause cause, std::optional<TimePoint> deadline);
@@ -56,8 +56,8 @@
     ConfigVersion peerVersion(const NodeId &node) const;
     /// Asks a peer which version of an object it has in force; nothing if it doesn't answer.
     /// Suspends the calling fiber.
-    std::optional<ConfigVersion> askVersion(const NodeIdentity &peer, const ConfigKey &key,
-                                            Duration timeout);
+    std::optional<ConfigVersion> queryVersion(const NodeIdentity &peer, const ConfigKey &key,
+                                              Duration timeout);
     /// Collects what all live nodes remember of a subject, oldest first. Suspends the calling
     /// fiber.
     std::vector<DecisionEvent> explain(DecisionSubject subject, const std::string &id,
--- a/include/gypsumdale/kernel/engine_call.hpp
+++ b/include/gypsumdale/kernel/engine_call.hpp
@@ -23,7 +23,7 @@
 };
 
 /// Adds to the metrics how many events of a finished answer were dropped.
-void countStrayEvents(Metrics &metrics, const AnswerAssembler &assembler);
+void countDroppedEvents(Metrics &metrics, const AnswerAssembler &assembler);
 
 /// How an attempt ended without a whole answer.
 struct EngineFailure
@@ -39,9 +39,9 @@
 struct EngineProgress
 {
     /// The answer's tokens before and after.
-    std::int64_t m_from = 0;
-    std::int64_t m_to = 0;
-    bool m_isWhole = false;
+    std::int64_t m_firstNewToken = 0;
+    std::int64_t m_tokenCount = 0;
+    bool m_isComplete = false;
 };
 
 template <typename Value>
--- a/include/gypsumdale/kernel/error_reply.hpp
+++ b/include/gypsumdale/kernel/error_reply.hpp
@@ -10,7 +10,7 @@
 namespace gypsumdale {
 
 /// Returns the HTTP status that an error is answered with. Constant.
-int statusOf(ErrorId id);
+int httpStatusOf(ErrorId id);
 
 /// Writes an error as `{"error":{"id":301,"name":"queue-full","message":".."}}`.
 std::string errorBody(const Error &error);
--- a/include/gypsumdale/kernel/job_driver.hpp
+++ b/include/gypsumdale/kernel/job_driver.hpp
@@ -17,7 +17,7 @@
 namespace gypsumdale {
 
 /// Runs attempts of jobs on the traffic loops. Both functions return at once.
-struct RunAttempt
+struct AttemptCallbacks
 {
     std::function<void(const StartAttempt &)> m_start;
     std::function<void(const CancelAttempt &)> m_cancel;
@@ -29,7 +29,7 @@
 class JobDriver
 {
 public:
-    JobDriver(ControlContext &context, FleetDriver &fleet, RunAttempt runAttempt);
+    JobDriver(ControlContext &context, FleetDriver &fleet, AttemptCallbacks runAttempt);
 
     /// Begins all duties; to be called in a fiber of the control loop.
     void start();
@@ -77,7 +77,7 @@
 
     const JobTable &table() const { return m_table; }
     /// Jobs that this node owns and that are not over.
-    std::size_t unfinished() const;
+    std::size_t unfinishedJobs() const;
 
 private:
     struct Running
@@ -104,14 +104,14 @@
     void execute(const ReportOverruled &command);
     /// Sends a message that wants an answer; a peer that gives none counts as failed.
     void askPeer(const NodeId &peer, const wire::PeerRequestBody &body,
-                 JobMessenger::TakeReply take);
+                 JobMessenger::ReplyHandler take);
     void countRecomputed(const JobId &job, const MemberId &member, std::int64_t tokens);
     void runTicks();
     void runListing();
 
     ControlContext &m_context;
     FleetDriver &m_fleet;
-    RunAttempt m_runAttempt;
+    AttemptCallbacks m_runAttempt;
     JobTable m_table;
     JobLogs m_logs;
     JobMessenger m_messenger;
--- a/include/gypsumdale/kernel/job_feed.hpp
+++ b/include/gypsumdale/kernel/job_feed.hpp
@@ -35,12 +35,12 @@
     NodeId m_node;
 };
 
-struct FeedOver
+struct FeedEnded
 {
     JobState m_state = JobState::Finished;
 };
 
-using FeedEvent = std::variant<FeedTokens, FeedAccepted, FeedRefused, FeedMoved, FeedOver>;
+using FeedEvent = std::variant<FeedTokens, FeedAccepted, FeedRefused, FeedMoved, FeedEnded>;
 
 /// What one caller of a job is told, from the control loop to the traffic fiber that writes to it.
 /// Bounded: a caller that reads too slowly loses its feed, not the job, and reattaches.
--- a/include/gypsumdale/kernel/job_messenger.hpp
+++ b/include/gypsumdale/kernel/job_messenger.hpp
@@ -14,12 +14,12 @@
 {
 public:
     /// Whether a reply was the answer that the message wants; takes it in if so.
-    using TakeReply = std::function<bool(const wire::PeerReplyBody &)>;
+    using ReplyHandler = std::function<bool(const wire::PeerReplyBody &)>;
 
     JobMessenger(ControlContext &context, FleetDriver &fleet);
 
     /// Sends a message that wants an answer; `onEnd` tells whether there was one.
-    void ask(const NodeId &peer, const wire::PeerRequestBody &body, TakeReply take,
+    void ask(const NodeId &peer, const wire::PeerRequestBody &body, ReplyHandler take,
              std::function<void(bool)> onEnd);
     /// Sends a message whose answer says nothing.
     void tell(const NodeId &peer, const wire::PeerRequestBody &body);
--- a/include/gypsumdale/kernel/job_runner.hpp
+++ b/include/gypsumdale/kernel/job_runner.hpp
@@ -19,7 +19,7 @@
     explicit JobRunner(Traffic &traffic);
 
     /// Returns the functions for the JobDriver.
-    RunAttempt functions();
+    AttemptCallbacks callbacks();
 
 private:
     class Attempt;
--- a/include/gypsumdale/kernel/peer_link.hpp
+++ b/include/gypsumdale/kernel/peer_link.hpp
@@ -43,7 +43,7 @@
     std::uint64_t refusedFrames() const { return m_refusedFrames; }
 
     /// Returns the size of the last heartbeat sent or answered, as encoded.
-    std::size_t lastFrameBytes() const { return m_lastFrameBytes; }
+    std::size_t lastHeartbeatBytes() const { return m_lastFrameBytes; }
 
 private:
     std::string answer(const PeerHandler &handler, const std::string &frame);
--- a/include/gypsumdale/kernel/platform_client.hpp
+++ b/include/gypsumdale/kernel/platform_client.hpp
@@ -31,7 +31,7 @@
 };
 
 /// How a call to the platform failed, by what the caller may conclude from it.
-enum class PlatformTrouble {
+enum class PlatformFailureKind {
     /// It certainly had no effect: nothing was sent, or the rate was spent.
     NoEffect,
     /// It may have taken effect, or may yet.
@@ -45,7 +45,7 @@
 
 struct PlatformFailure
 {
-    PlatformTrouble m_trouble = PlatformTrouble::AnswerLost;
+    PlatformFailureKind m_failureKind = PlatformFailureKind::AnswerLost;
     Error m_error;
     /// The time to come back that the platform named, or zero.
     Duration m_retryAfter{};
@@ -91,7 +91,7 @@
 
     const PlatformCalls &calls() const { return m_calls; }
     /// Tells whether the last call that ended was answered at all.
-    bool isUp() const { return m_isUp; }
+    bool isReachable() const { return m_isUp; }
 
 private:
     PlatformResult<HttpReply> send(const HttpCall &call);
--- a/include/gypsumdale/kernel/request_context.hpp
+++ b/include/gypsumdale/kernel/request_context.hpp
@@ -26,7 +26,7 @@
 };
 
 /// What a caller says of itself, in headers.
-struct CallerClaim
+struct CallerHeaders
 {
     std::string m_credential;
     ProfileId m_profile;
--- a/include/gypsumdale/kernel/traffic.hpp
+++ b/include/gypsumdale/kernel/traffic.hpp
@@ -42,7 +42,7 @@
 
     /// Runs the work on the control loop, with the control state, and waits for its result.
     template <typename Work>
-    auto onControl(Work work)
+    auto callControl(Work work)
     {
         return m_controlLoop->call(
                 [this, work = std::move(work)]() mutable { return work(*m_control); });
@@ -50,7 +50,7 @@
 
     /// Runs the work on the control loop some time soon.
     template <typename Work>
-    void tellControl(Work work)
+    void postToControl(Work work)
     {
         m_controlLoop->spawn([this, work = std::move(work)]() mutable { work(*m_control); });
     }
--- a/include/gypsumdale/policy/admission.hpp
+++ b/include/gypsumdale/policy/admission.hpp
@@ -65,7 +65,7 @@
     /// Takes a peer's heartbeat; one of an older incarnation is ignored. Linear in the load.
     void mergePeer(const NodeId &peer, std::uint64_t incarnation, const NodeLoad &load,
                    TimePoint now);
-    void noteCacheEvent(const CacheEvent &event, TimePoint now);
+    void applyCacheEvent(const CacheEvent &event, TimePoint now);
 
     /// Takes a request in: it is dispatched, refused, or waits. May bring commands for others too.
     AdmissionCommands submit(WaitingRequest request, TimePoint now);
@@ -74,7 +74,7 @@
     AdmissionCommands poll(TimePoint now);
 
     /// The caller went away. Waiting requests leave the queue; one in flight has to be ended with
-    /// attemptEnded().
+    /// finishAttempt().
     bool cancel(const RequestId &request);
 
     /// Tells of progress of a dispatched request; unknown ids are ignored. Constant.
@@ -86,8 +86,8 @@
     void usage(const RequestId &request, std::uint32_t promptTokens, std::uint32_t generated);
 
     /// Ends a dispatched attempt and frees its slot; unknown ids are ignored, so a doubled end does
-    /// no harm. To try again, submit the request with the upstream added to m_tried.
-    AdmissionCommands attemptEnded(const RequestId &request, AttemptEnd end, TimePoint now);
+    /// no harm. To try again, submit the request with the upstream added to m_triedUpstreams.
+    AdmissionCommands finishAttempt(const RequestId &request, AttemptEnd end, TimePoint now);
 
     /// Refuses all that waits and all that comes from now on.
     AdmissionCommands drain(TimePoint now);
@@ -96,7 +96,7 @@
     NodeLoad ownLoad() const;
 
     /// Estimates how long a new request of this member and class would wait for its dispatch.
-    Duration waitEstimate(const MemberId &member, int priority, TimePoint now) const;
+    Duration estimateWait(const MemberId &member, int priority, TimePoint now) const;
 
     const FairQueue &queue() const { return m_queue; }
     std::size_t inFlight() const { return m_running.size(); }
@@ -139,7 +139,7 @@
     RoutingRequest routingRequest(const WaitingRequest &request, TimePoint now) const;
     Duration retryAfter(Duration wait);
 
-    AdmissionPlace m_place;
+    AdmissionLocation m_place;
     AdmissionSettings m_settings;
     AdmissionUpstreams m_upstreams;
     RoutingPolicy m_routing;
@@ -168,7 +168,7 @@
 private:
     friend class AdmissionController;
 
-    AdmissionPlace m_place;
+    AdmissionLocation m_place;
     AdmissionSettings m_settings;
     RoutingPolicy m_routing = PrefixAffinity{};
     std::uint64_t m_seed = 0;
--- a/include/gypsumdale/policy/admission_settings.hpp
+++ b/include/gypsumdale/policy/admission_settings.hpp
@@ -27,7 +27,7 @@
     /// An upstream whose last report is older is used only up to what the entry VMs know of.
     Duration m_reportMaxAge = std::chrono::seconds(10);
     /// Other regions are used only once what waits here would take longer than this.
-    Duration m_spillAfter = std::chrono::milliseconds(200);
+    Duration m_spillWait = std::chrono::milliseconds(200);
     /// A retry-after is never shorter or longer than these.
     Duration m_minRetryAfter = std::chrono::milliseconds(200);
     Duration m_maxRetryAfter = std::chrono::seconds(60);
--- a/include/gypsumdale/policy/admission_upstreams.hpp
+++ b/include/gypsumdale/policy/admission_upstreams.hpp
@@ -22,7 +22,7 @@
 };
 
 /// Where the entry VM itself is.
-struct AdmissionPlace
+struct AdmissionLocation
 {
     NodeId m_node;
     DataCentreId m_dataCentre;
@@ -37,7 +37,7 @@
 class AdmissionUpstreams
 {
 public:
-    AdmissionUpstreams(AdmissionPlace place, const AdmissionSettings &settings);
+    AdmissionUpstreams(AdmissionLocation place, const AdmissionSettings &settings);
 
     /// Sets the live entry VMs of the data centre.
     void setNodes(std::vector<NodeId> nodes);
@@ -62,7 +62,7 @@
                TimePoint now);
 
     /// Tells whether there is one that is not leaving.
-    bool hasStaying() const;
+    bool hasNonLeavingUpstream() const;
     SlotCount countSlots(TimePoint now) const;
     /// Those with a slot free for this entry VM; of other regions only if `mayLeaveRegion`, or if
     /// the own one has none in use. Linear.
@@ -86,7 +86,7 @@
         std::uint32_t m_peers = 0;
         RecentDispatches m_recent;
         InFlightHistory m_history;
-        UpstreamMeasures m_measures;
+        UpstreamMeasurements m_measures;
     };
 
     void recountAll();
@@ -100,7 +100,7 @@
     std::uint32_t foreignAllowance(const UpstreamReport &state) const;
     Candidate candidate(const Upstream &upstream, TimePoint now) const;
 
-    AdmissionPlace m_place;
+    AdmissionLocation m_place;
     AdmissionSettings m_settings;
     PeerSlots m_peers;
     OutlierDetector m_outlier;
--- a/include/gypsumdale/policy/candidate.hpp
+++ b/include/gypsumdale/policy/candidate.hpp
@@ -48,9 +48,9 @@
     std::uint32_t m_promptTokens = 0;
     std::uint32_t m_expectedTokens = 0;
     /// How long the first token may still take; the bound for staying near.
-    Duration m_firstTokenIn = Duration::max();
+    Duration m_firstTokenTimeLeft = Duration::max();
     std::vector<std::uint64_t> m_prefixBlocks;
-    std::vector<UpstreamId> m_tried;
+    std::vector<UpstreamId> m_triedUpstreams;
 };
 
 /// Estimates the requests now at an upstream: the larger of what the entry VMs know of and what it
--- a/include/gypsumdale/policy/circuit_breaker.hpp
+++ b/include/gypsumdale/policy/circuit_breaker.hpp
@@ -10,9 +10,9 @@
 struct CircuitBreakerSettings
 {
     /// Pause after the first failure; each further one doubles it.
-    Duration m_shortestPause = std::chrono::milliseconds(150);
+    Duration m_minPause = std::chrono::milliseconds(150);
     /// A dependency that is back is noticed within this.
-    Duration m_longestPause = std::chrono::seconds(1);
+    Duration m_maxPause = std::chrono::seconds(1);
 };
 
 /// Keeps callers from a dependency that fails: one call is let through at the end of each pause,
@@ -47,8 +47,7 @@
     {
         if (m_isOpen && sentAt < m_failedAt)
             return;
-        m_pause = m_isOpen ? std::min(2 * m_pause, m_settings.m_longestPause)
-                           : m_settings.m_shortestPause;
+        m_pause = m_isOpen ? std::min(2 * m_pause, m_settings.m_maxPause) : m_settings.m_minPause;
         m_isOpen = true;
         m_failedAt = now;
         m_nextCallAt = now + m_pause;
--- a/include/gypsumdale/policy/fair_queue.hpp
+++ b/include/gypsumdale/policy/fair_queue.hpp
@@ -48,7 +48,7 @@
 };
 
 /// A request that left the queue because it could no longer be served in time.
-struct GivenUp
+struct ExpiredRequest
 {
     RequestId m_request;
     Duration m_retryAfter{};
@@ -82,16 +82,16 @@
     /// Takes out every request that can't have its first token in time any more, judged by the
     /// work ahead of it and the rate in tokens a second (0 while unknown: then only by the clock).
     /// The time to come back is when that work is likely to be done. Linear in the waiting ones.
-    std::vector<GivenUp> expire(TimePoint now, double tokensPerSecond = 0.0,
-                                const FirstTokenEstimate &firstToken = {});
+    std::vector<ExpiredRequest> expire(TimePoint now, double tokensPerSecond = 0.0,
+                                       const FirstTokenEstimate &firstToken = {});
 
     /// Takes out all waiting requests, for a drain. Linear.
-    std::vector<WaitingRequest> takeAll();
+    std::vector<WaitingRequest> removeAllWaiting();
 
     /// Takes out the request that is to make room for a new one of a member: the last one of the
     /// member with the most waiting for its weight. Nothing if that is the new one's own member.
     /// Linear in the members.
-    std::optional<WaitingRequest> makeRoomFor(const MemberId &member);
+    std::optional<WaitingRequest> evictFor(const MemberId &member);
 
     /// Forgets a waiting request; false if it doesn't wait. Linear in the member's requests.
     bool cancel(const RequestId &request);
@@ -100,7 +100,7 @@
     void charge(const MemberId &member, std::uint64_t tokens);
 
     /// Corrects an earlier charge, see TokenCounters.
-    void correct(const MemberId &member, std::uint64_t charged, std::uint64_t actual);
+    void correctCharge(const MemberId &member, std::uint64_t charged, std::uint64_t actual);
 
     void mergePeer(const NodeId &peer, std::uint64_t incarnation, const TokenCounts &counts);
 
@@ -149,7 +149,7 @@
     WaitingRequest take(const MemberId &id, int priority);
     void forget(Member &member, Lane &lane, const WaitingRequest &request);
     void expireLane(Member &member, Lane &lane, const Outlook &outlook, double factor, double &own,
-                    std::vector<GivenUp> &result);
+                    std::vector<ExpiredRequest> &result);
     double shareFactor(const MemberId &member) const;
 
     FairQueueSettings m_settings;
--- a/include/gypsumdale/policy/outlier.hpp
+++ b/include/gypsumdale/policy/outlier.hpp
@@ -14,10 +14,10 @@
     /// Failures in a row that eject an upstream.
     std::uint32_t m_failuresToEject = 5;
     /// Silence while requests run there that ejects an upstream at once; zero for never.
-    Duration m_silence = std::chrono::seconds(10);
+    Duration m_silenceLimit = std::chrono::seconds(10);
     /// How long the first ejection lasts; each further one doubles it up to the longest.
-    Duration m_ejection = std::chrono::seconds(5);
-    Duration m_longestEjection = std::chrono::seconds(60);
+    Duration m_firstEjection = std::chrono::seconds(5);
+    Duration m_maxEjection = std::chrono::seconds(60);
     /// Which part of the upstreams may be ejected at a time; at least one stays in use.
     double m_maxEjectedShare = 0.5;
 };
@@ -37,17 +37,17 @@
     /// Notes that some byte of an answer came: the upstream isn't silent. Constant.
     void heard(const UpstreamId &upstream, TimePoint now);
     /// Notes that an attempt brought an answer: ends probation and clears the failures. Constant.
-    void succeeded(const UpstreamId &upstream, TimePoint now);
+    void onSuccess(const UpstreamId &upstream, TimePoint now);
     /// Notes a failure; may eject. Linear in the ejected ones.
-    void failed(const UpstreamId &upstream, TimePoint now);
+    void onFailure(const UpstreamId &upstream, TimePoint now);
     /// Notes that an attempt ended without telling anything: a probe may be sent again. Constant.
-    void abandoned(const UpstreamId &upstream);
+    void onAbandoned(const UpstreamId &upstream);
     /// Looks for upstreams that owe answers and have been silent for too long. Linear.
     void checkSilence(TimePoint now);
     void forget(const UpstreamId &upstream);
 
     /// Tells whether a request may go there: not ejected, or due for a probe with none under way.
-    bool mayUse(const UpstreamId &upstream, TimePoint now) const;
+    bool canUse(const UpstreamId &upstream, TimePoint now) const;
     bool isEjected(const UpstreamId &upstream) const;
     std::size_t ejectedCount() const;
 
--- a/include/gypsumdale/policy/peer_slots.hpp
+++ b/include/gypsumdale/policy/peer_slots.hpp
@@ -30,7 +30,7 @@
     std::uint32_t ownRank(const UpstreamId &upstream) const { return rankOf(m_ownIndex, upstream); }
 
     /// Tells whether a heartbeat of this incarnation is one of a process before.
-    bool isOutdated(const NodeId &peer, std::uint64_t incarnation) const;
+    bool isSuperseded(const NodeId &peer, std::uint64_t incarnation) const;
     /// Tells whether a peer was not heard lately, or never.
     bool isStale(const NodeId &peer) const;
     /// What a peer last reported; empty if nothing.
@@ -38,7 +38,7 @@
     void merge(const NodeId &peer, std::uint64_t incarnation, InFlightByUpstream inFlight,
                TimePoint now);
     /// Holds for stale whom it did not hear for too long; true if there are new ones. Linear.
-    bool markStale(TimePoint now);
+    bool markStalePeers(TimePoint now);
 
     /// What a peer counts for at an upstream with so many slots; 0 if it is not among the nodes.
     std::uint32_t chargeOf(const NodeId &peer, const UpstreamId &upstream,
--- a/include/gypsumdale/policy/prefix_memory.hpp
+++ b/include/gypsumdale/policy/prefix_memory.hpp
@@ -12,19 +12,20 @@
 namespace gypsumdale {
 
 /// Which prompt blocks each upstream probably has in its cache: a bounded memory that ages.
-class PrefixMemory
+class PrefixCacheIndex
 {
 public:
-    PrefixMemory(std::size_t blocksPerUpstream, Duration maxAge);
+    PrefixCacheIndex(std::size_t blocksPerUpstream, Duration maxAge);
 
     /// Remembers blocks as just used; the least recently used beyond the bound are forgotten.
     /// Linear in the blocks.
-    void remember(const UpstreamId &upstream, std::span<const std::uint64_t> blocks, TimePoint now);
+    void recordBlocks(const UpstreamId &upstream, std::span<const std::uint64_t> blocks,
+                      TimePoint now);
 
     void evict(const UpstreamId &upstream, std::span<const std::uint64_t> blocks);
 
     /// Halves the remaining life of all that is remembered of an upstream, after lost events.
-    void distrust(const UpstreamId &upstream, TimePoint now);
+    void halveLifetimes(const UpstreamId &upstream, TimePoint now);
 
     void forget(const UpstreamId &upstream);
 
--- a/include/gypsumdale/policy/retry_budget.hpp
+++ b/include/gypsumdale/policy/retry_budget.hpp
@@ -33,7 +33,7 @@
     explicit RetryBudget(RetryBudgetSettings settings = {});
 
     /// Notes a first attempt, which earns a part of a retry. Constant.
-    void firstAttempt();
+    void recordFirstAttempt();
     /// Takes one retry out; false if there is none. Constant.
     bool tryTake();
     double available() const { return m_tokens; }
@@ -146,7 +146,7 @@
 
 /// Returns what to tell the layer below: the attempt and the time left, but no further attempts of
 /// its own, since this layer makes them; attempts would multiply otherwise. Constant.
-AttemptInfo infoForBelow(const AttemptInfo &info, TimePoint deadline, TimePoint now);
+AttemptInfo downstreamAttemptInfo(const AttemptInfo &info, TimePoint deadline, TimePoint now);
 
 /// Decides whether a failed attempt is tried again, and takes one out of the budget if so. A
 /// request that must not repeat is tried again only where it can't have run. Constant.
--- a/include/gypsumdale/policy/routing.hpp
+++ b/include/gypsumdale/policy/routing.hpp
@@ -34,14 +34,14 @@
                                  pcg32 &random);
 
 /// Tells the policy that a request went to an upstream, so that it can remember its prefix.
-void noteDispatch(RoutingPolicy &policy, const UpstreamId &upstream, const RoutingRequest &request,
-                  TimePoint now);
+void recordDispatch(RoutingPolicy &policy, const UpstreamId &upstream,
+                    const RoutingRequest &request, TimePoint now);
 
 /// Tells the policy what an upstream's prefix cache gained or lost, late and with gaps.
-void noteCacheEvent(RoutingPolicy &policy, const CacheEvent &event, TimePoint now);
+void applyCacheEvent(RoutingPolicy &policy, const CacheEvent &event, TimePoint now);
 
 /// Drops what the policy remembers of an upstream, when it left or started anew.
-void forgetUpstream(RoutingPolicy &policy, const UpstreamId &upstream);
+void dropUpstreamState(RoutingPolicy &policy, const UpstreamId &upstream);
 
 /// Hashes a prompt block by block; each hash covers all blocks up to its own, so that equal hashes
 /// mean equal prefixes. A last incomplete block is left out. Linear in the prompt.
--- a/include/gypsumdale/policy/routing_prefix_affinity.hpp
+++ b/include/gypsumdale/policy/routing_prefix_affinity.hpp
@@ -32,7 +32,7 @@
 
 private:
     RoutingSettings m_settings;
-    PrefixMemory m_memory;
+    PrefixCacheIndex m_memory;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/policy/routing_settings.hpp
+++ b/include/gypsumdale/policy/routing_settings.hpp
@@ -21,7 +21,7 @@
     /// Prompt tokens a second that an upstream computes, until measured.
     double m_prefillTokensPerSecond = 8000.0;
     /// What each request already there delays the first token by, until measured.
-    Duration m_queueingStep = std::chrono::milliseconds(20);
+    Duration m_delayPerQueuedRequest = std::chrono::milliseconds(20);
     /// Seconds that a currency unit an hour is worth.
     double m_priceWeight = 0.0;
     /// Seconds that the certainty of a reclaim within the hour is worth, per 1000 tokens expected.
@@ -29,7 +29,7 @@
     /// Seconds that one recent failure is worth.
     double m_failureWeight = 0.2;
     /// How many random candidates are compared besides those that hold the prefix.
-    std::size_t m_choices = 2;
+    std::size_t m_randomCandidates = 2;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/policy/service_rate.hpp
+++ b/include/gypsumdale/policy/service_rate.hpp
@@ -14,7 +14,7 @@
 
     /// Notes work dispatched. Time in which nothing waits says nothing of the capacity and is left
     /// out. Constant.
-    void served(std::uint64_t tokens, TimePoint now, bool isBacklogged);
+    void recordServed(std::uint64_t tokens, TimePoint now, bool isBacklogged);
 
     /// Returns tokens a second, or 0 while too little was seen.
     double tokensPerSecond() const;
--- a/include/gypsumdale/policy/slot_share.hpp
+++ b/include/gypsumdale/policy/slot_share.hpp
@@ -29,11 +29,11 @@
     /// For each peer its last reported in-flight, at least its reserve; see peersCharge().
     std::uint32_t m_peers = 0;
     /// The least that m_own was within the window: what every peer has heard of at least.
-    std::uint32_t m_ownHeard = 0;
+    std::uint32_t m_ownMinimum = 0;
 };
 
 /// Returns the slots lent to the process of this rank: an even share of them all. Constant.
-std::uint32_t lentSlots(std::uint32_t slots, std::uint32_t nodes, std::uint32_t rank);
+std::uint32_t evenSlotShare(std::uint32_t slots, std::uint32_t nodes, std::uint32_t rank);
 
 /// Returns what to count for a peer: its last report, or the reserve of its share if that is more.
 std::uint32_t peerCharge(const SlotShareSettings &settings, std::uint32_t reported,
@@ -42,7 +42,7 @@
 /// Tells whether the process may have one more request at the upstream. Within its lent share
 /// always; beyond that, only if all nodes growing as it did within the window would still fit. A
 /// process with no lent slot at all may have one where a slot looks free. Constant.
-bool mayDispatch(const SlotView &view);
+bool canDispatch(const SlotView &view);
 
 /// Returns how far all nodes together can pass the slots at the worst, see
 /// docs/policy-limits-and-retries.md. Constant.
@@ -58,7 +58,7 @@
     void note(TimePoint now, std::uint32_t inFlight, Duration keep);
     /// Returns the least number since a time within the time kept; 0 if it reaches back before the
     /// first change. Logarithmic in the most requests in flight.
-    std::uint32_t leastSince(TimePoint since) const;
+    std::uint32_t minimumSince(TimePoint since) const;
 
 private:
     /// The least number from a time up to now.
--- a/include/gypsumdale/policy/token_counters.hpp
+++ b/include/gypsumdale/policy/token_counters.hpp
@@ -26,7 +26,7 @@
     /// Corrects an earlier charge once the real number is known. Too little is charged now; too
     /// much is kept and set off against the member's next charges, since the counts never fall.
     /// Logarithmic.
-    void correct(const MemberId &member, std::uint64_t charged, std::uint64_t actual);
+    void correctCharge(const MemberId &member, std::uint64_t charged, std::uint64_t actual);
 
     /// Takes over what a peer has served in all since its start. Counts that fell are late messages
     /// and ignored; a higher incarnation starts from its counts as new service, while the service
@@ -37,7 +37,7 @@
 
     /// Lifts a member that comes back from idleness to at least this service, so that it can't draw
     /// on the time it was away. Logarithmic.
-    void lift(const MemberId &member, double service);
+    void raiseService(const MemberId &member, double service);
 
     /// Returns the virtual service of a member: its tokens by weight and its lifts. Logarithmic.
     double service(const MemberId &member) const;
--- a/include/gypsumdale/policy/upstream_measures.hpp
+++ b/include/gypsumdale/policy/upstream_measures.hpp
@@ -9,13 +9,13 @@
 /// What this process measured at one upstream: smoothed times of tokens, and failures. Failures and
 /// the time to the first token fade; an upstream that was slow would never be tried again if that
 /// were not forgotten.
-class UpstreamMeasures
+class UpstreamMeasurements
 {
 public:
-    void noteFirstToken(Duration taken, TimePoint now);
+    void recordFirstTokenTime(Duration taken, TimePoint now);
     /// So many tokens came in the time since the ones before.
-    void noteTokens(std::uint32_t count, Duration passed);
-    void noteFailure(TimePoint now);
+    void recordTokenInterval(std::uint32_t count, Duration passed);
+    void recordFailure(TimePoint now);
 
     /// Zero while unknown, as the time between tokens.
     Duration firstToken(TimePoint now) const;
--- a/src/kernel/admin_api.cpp
+++ b/src/kernel/admin_api.cpp
@@ -138,12 +138,12 @@
         return metricsReply();
     const auto allowed = m_operators.authenticate(bearerCredential(request));
     if (!succeeded(allowed)) {
-        m_traffic.tellControl([](Control &control) {
+        m_traffic.postToControl([](Control &control) {
             control.context().m_metrics.add(Counter::OperatorCallsRefused);
         });
         return errorReply(errorOf(allowed));
     }
-    m_traffic.tellControl(
+    m_traffic.postToControl(
             [](Control &control) { control.context().m_metrics.add(Counter::OperatorCalls); });
     return path.starts_with(adminPrefix) ? answerOperator(request) : notFound();
 }
@@ -184,7 +184,7 @@
     HttpReply reply;
     reply.m_headers.add("Content-Type", std::string(metricsContentType));
     const auto trafficMillis = wholeMillis(m_traffic.processorTime());
-    const Metrics *metrics = m_traffic.onControl([&](Control &control) {
+    const Metrics *metrics = m_traffic.callControl([&](Control &control) {
         control.context().m_metrics.assign(Counter::TrafficProcessorMillis,
                                            static_cast<std::uint64_t>(trafficMillis));
         return &control.context().m_metrics;
@@ -197,9 +197,9 @@
 HttpReply AdminApi::statusReply()
 {
     const auto uptime = wholeMillis(m_traffic.now() - m_startedAt);
-    return jsonReply(m_traffic.onControl([&](Control &control) {
+    return jsonReply(m_traffic.callControl([&](Control &control) {
         const NodeSettings &settings = control.context().m_settings;
-        const auto reason = control.notReady();
+        const auto reason = control.unreadyReason();
         Json document;
         document["node"] = settings.m_node.text();
         document["dataCentre"] = settings.m_dataCentre.text();
@@ -210,14 +210,14 @@
         document["configVersion"] = control.config().store().versionInForce();
         document["uptimeMillis"] = uptime;
         document["requestsInFlight"] = control.requestsInFlight();
-        document["platform"] = control.context().m_platform.isUp() ? "up" : "down";
+        document["platform"] = control.context().m_platform.isReachable() ? "up" : "down";
         return document;
     }));
 }
 
 HttpReply AdminApi::nodesReply()
 {
-    return jsonReply(m_traffic.onControl([](Control &control) {
+    return jsonReply(m_traffic.callControl([](Control &control) {
         Json list = Json::array();
         const ControlContext &context = control.context();
         list.push_back({{"node", context.m_settings.m_node.text()},
@@ -243,7 +243,7 @@
 
 HttpReply AdminApi::upstreamsReply()
 {
-    return jsonReply(m_traffic.onControl([](Control &control) {
+    return jsonReply(m_traffic.callControl([](Control &control) {
         Json list = Json::array();
         for (const UpstreamView &view : control.fleet().upstreams().views()) {
             const UpstreamDeclaration &declaration = view.m_declaration;
@@ -266,7 +266,7 @@
 
 HttpReply AdminApi::membersReply()
 {
-    return jsonReply(m_traffic.onControl([](Control &control) {
+    return jsonReply(m_traffic.callControl([](Control &control) {
         Json list = Json::array();
         const SettingsView &view = control.config().view();
         for (const auto &[id, member] : view.members()) {
@@ -282,7 +282,7 @@
 
 HttpReply AdminApi::jobsReply()
 {
-    return jsonReply(m_traffic.onControl([](Control &control) {
+    return jsonReply(m_traffic.callControl([](Control &control) {
         Json list = Json::array();
         for (const JobSummary &job : control.jobs().table().summaries()) {
             list.push_back({{"job", job.m_job.text()},
@@ -300,7 +300,7 @@
 
 HttpReply AdminApi::configListReply()
 {
-    return jsonReply(m_traffic.onControl([](Control &control) {
+    return jsonReply(m_traffic.callControl([](Control &control) {
         Json list = Json::array();
         for (const ConfigObject &object : control.config().store().inForce()) {
             list.push_back({{"kind", nameIn(settingsKindNames, object.m_key.m_kind)},
@@ -325,7 +325,7 @@
 
 HttpReply AdminApi::configGetReply(const ConfigKey &key)
 {
-    const auto object = m_traffic.onControl(
+    const auto object = m_traffic.callControl(
             [&](Control &control) { return control.config().store().inForce(key); });
     if (!object)
         return errorReply({ErrorId::NotFound, "no such object is in force"});
@@ -345,7 +345,7 @@
         return errorReply({ErrorId::RequestMalformed, "give the edited version, or 0 to create"});
     edit.m_key = key;
     edit.m_body = request.m_body;
-    const auto step = m_traffic.onControl([&](Control &control) {
+    const auto step = m_traffic.callControl([&](Control &control) {
         edit.m_writeId = fmt::format("{}.{}.{}", control.context().m_settings.m_node.text(),
                                      m_writePrefix, ++m_writes);
         return control.config().edit(edit);
@@ -365,7 +365,7 @@
         std::optional<NodeIdentity> m_peer;
     };
     ConfigVersion version = 0;
-    const auto places = m_traffic.onControl([&](Control &control) {
+    const auto places = m_traffic.callControl([&](Control &control) {
         const NodeSettings &settings = control.context().m_settings;
         const auto object = control.config().store().inForce(*key);
         version = object ? object->m_version : 0;
@@ -384,8 +384,8 @@
     for (const Place &place : places) {
         std::optional<ConfigVersion> at = version;
         if (place.m_peer) {
-            at = m_traffic.onControl([&](Control &control) {
-                return control.askVersion(*place.m_peer, *key, peerTimeout);
+            at = m_traffic.callControl([&](Control &control) {
+                return control.queryVersion(*place.m_peer, *key, peerTimeout);
             });
         }
         Json entry{{"node", place.m_node}, {"version", nullptr}};
@@ -409,7 +409,7 @@
     const auto id = decoded(rest.substr(slash + 1));
     if (!id)
         return notFound();
-    const auto events = m_traffic.onControl(
+    const auto events = m_traffic.callControl(
             [&](Control &control) { return control.explain(*subject, *id, peerTimeout); });
     if (events.empty())
         return errorReply({ErrorId::NotFound, "nothing is known of it"});
@@ -431,7 +431,7 @@
     };
     const std::string upstream = textOf("upstream");
     const std::string node = textOf("node");
-    const bool isKnown = m_traffic.onControl([&](Control &control) {
+    const bool isKnown = m_traffic.callControl([&](Control &control) {
         if (!upstream.empty())
             return control.fleet().drainUpstream(UpstreamId(upstream));
         if (node != control.context().m_settings.m_node.text())
--- a/src/kernel/admission_driver.cpp
+++ b/src/kernel/admission_driver.cpp
@@ -151,11 +151,11 @@
     service(id).m_controller.usage(request, promptTokens, generated);
 }
 
-void AdmissionDriver::attemptEnded(const ServiceId &id, const RequestId &request, AttemptEnd end)
+void AdmissionDriver::finishAttempt(const ServiceId &id, const RequestId &request, AttemptEnd end)
 {
     Service &target = service(id);
     const auto placed = target.m_placedAt.extract(request);
-    run(id, target.m_controller.attemptEnded(request, end, m_context.now()));
+    run(id, target.m_controller.finishAttempt(request, end, m_context.now()));
     if (placed.empty())
         return;
     const UpstreamId &upstream = placed.mapped();
@@ -186,9 +186,9 @@
                                    m_random);
 }
 
-void AdmissionDriver::noteFirstAttempt(const ServiceId &id)
+void AdmissionDriver::onFirstAttempt(const ServiceId &id)
 {
-    service(id).m_budget.firstAttempt();
+    service(id).m_budget.recordFirstAttempt();
 }
 
 void AdmissionDriver::onPeerLoad(const NodeId &peer, const PeerLoad &load)
--- a/src/kernel/caller_api.cpp
+++ b/src/kernel/caller_api.cpp
@@ -51,14 +51,14 @@
 Result<RequestContext> CallerApi::resolve(const HttpRequest &request, const ServiceId &service,
                                           ServiceKind kind)
 {
-    CallerClaim claim;
+    CallerHeaders claim;
     claim.m_credential = bearerCredential(request);
     claim.m_profile = ProfileId(std::string(request.m_headers.value("X-Profile")));
     claim.m_service = service;
     claim.m_kind = kind;
     RequestId id = m_traffic.nextRequestId();
-    return m_traffic.onControl([&](Control &control) -> Result<RequestContext> {
-        if (const auto reason = control.notReady())
+    return m_traffic.callControl([&](Control &control) -> Result<RequestContext> {
+        if (const auto reason = control.unreadyReason())
             return *reason;
         return control.resolve(claim, std::move(id));
     });
@@ -115,7 +115,7 @@
     std::string_view name = request.path().substr(jobsPrefix.size());
     if (name.ends_with(eventsSuffix))
         name.remove_suffix(eventsSuffix.size());
-    const auto member = m_traffic.onControl([&](Control &control) {
+    const auto member = m_traffic.callControl([&](Control &control) {
         return control.config().view().accounts().authenticate(bearerCredential(request));
     });
     if (!succeeded(member)) {
--- a/src/kernel/config_driver.cpp
+++ b/src/kernel/config_driver.cpp
@@ -122,7 +122,7 @@
                                         m_context.now()));
             return;
         }
-        if (std::get<PlatformFailure>(result).m_trouble == PlatformTrouble::TooOld)
+        if (std::get<PlatformFailure>(result).m_failureKind == PlatformFailureKind::TooOld)
             run(m_store.onPlatformTooOld(m_context.now()));
         else
             run(m_store.onPlatformFailed(m_context.now()));
@@ -215,14 +215,14 @@
 
 ConfigWriterStep stepAfter(ConfigWriter &writer, const PlatformFailure &failure)
 {
-    switch (failure.m_trouble) {
-    case PlatformTrouble::Conflict:
-    case PlatformTrouble::NotFound:
+    switch (failure.m_failureKind) {
+    case PlatformFailureKind::Conflict:
+    case PlatformFailureKind::NotFound:
         return writer.onConflict();
-    case PlatformTrouble::NoEffect:
-    case PlatformTrouble::TooOld:
+    case PlatformFailureKind::NoEffect:
+    case PlatformFailureKind::TooOld:
         return writer.onRefused(failure.m_error);
-    case PlatformTrouble::AnswerLost:
+    case PlatformFailureKind::AnswerLost:
         break;
     }
     return writer.onAnswerLost(failure.m_error);
@@ -258,7 +258,7 @@
     if (const auto *object = std::get_if<PlatformObject>(&result))
         return writer.onRead(ConfigObject{step.m_key, object->m_version, object->m_body, false});
     const auto &failure = std::get<PlatformFailure>(result);
-    if (failure.m_trouble == PlatformTrouble::NotFound)
+    if (failure.m_failureKind == PlatformFailureKind::NotFound)
         return writer.onRead(std::nullopt);
     return writer.onReadFailed(failure.m_error);
 }
--- a/src/kernel/control.cpp
+++ b/src/kernel/control.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-Control::Control(ControlContext context, RunAttempt runAttempt)
+Control::Control(ControlContext context, AttemptCallbacks runAttempt)
     : m_context(context)
     , m_fleet(m_context)
     , m_config(m_context, [this](const NodeId &node) { return m_fleet.find(node); })
@@ -120,7 +120,7 @@
         m_jobs.onNodeDead(change);
 }
 
-Result<RequestContext> Control::resolve(const CallerClaim &claim, RequestId id)
+Result<RequestContext> Control::resolve(const CallerHeaders &claim, RequestId id)
 {
     const SettingsView &view = m_config.view();
     const Result<MemberId> memberId = view.accounts().authenticate(claim.m_credential);
@@ -152,7 +152,7 @@
     return context;
 }
 
-std::optional<Error> Control::notReady() const
+std::optional<Error> Control::unreadyReason() const
 {
     if (!m_drain.isAccepting())
         return Error{ErrorId::Draining, "this process is shutting down"};
@@ -223,8 +223,8 @@
     return result;
 }
 
-std::optional<ConfigVersion> Control::askVersion(const NodeIdentity &peer, const ConfigKey &key,
-                                                 Duration timeout)
+std::optional<ConfigVersion> Control::queryVersion(const NodeIdentity &peer, const ConfigKey &key,
+                                                   Duration timeout)
 {
     wire::VersionAsk ask;
     ask.name = platformName(key);
@@ -319,7 +319,7 @@
         m_fleet.exchange().setConfigDigest(wire::toWire(m_config.store().digest().m_digest));
         if (m_drain.phase() != DrainPhase::Serving) {
             const bool hasCallers = m_hooks.m_hasCallers && m_hooks.m_hasCallers();
-            m_drain.setUnfinished({requestsInFlight(), m_jobs.unfinished(), hasCallers});
+            m_drain.setUnfinished({requestsInFlight(), m_jobs.unfinishedJobs(), hasCallers});
             run(m_drain.tick(m_context.now()));
         }
         sleepFiber(drainTick);
@@ -339,9 +339,9 @@
     metrics.set(Gauge::RequestsInFlight, static_cast<std::int64_t>(requestsInFlight()));
     metrics.assign(Counter::LogLinesSuppressed, m_context.m_log.suppressedLines());
     metrics.assign(Counter::LogLinesLost, m_context.m_log.lostLines());
-    metrics.set(Gauge::Ready, notReady() ? 0 : 1);
+    metrics.set(Gauge::Ready, unreadyReason() ? 0 : 1);
     metrics.set(Gauge::Draining, m_drain.phase() == DrainPhase::Serving ? 0 : 1);
-    metrics.set(Gauge::PlatformUp, m_context.m_platform.isUp() ? 1 : 0);
+    metrics.set(Gauge::PlatformUp, m_context.m_platform.isReachable() ? 1 : 0);
     metrics.set(Gauge::RequestsWaiting, static_cast<std::int64_t>(m_admission.waiting()));
     metrics.set(Gauge::PeersLive, static_cast<std::int64_t>(liveLocalNodes().size()) - 1);
     const FrameTraffic traffic = m_context.m_peers.traffic();
--- a/src/kernel/daemon.cpp
+++ b/src/kernel/daemon.cpp
@@ -73,7 +73,7 @@
         , m_jobRunner(m_traffic)
         , m_control(ControlContext{m_settings, m_controlLoop, m_clock, *m_log, m_metrics, m_journal,
                                    m_controlClient, m_platform, m_peers, m_clock.wallNow()},
-                    m_jobRunner.functions())
+                    m_jobRunner.callbacks())
         , m_callerApi(m_traffic)
         , m_adminApi(m_traffic, OperatorTable(settings.m_operatorHashes))
     {}
--- a/src/kernel/engine_call.cpp
+++ b/src/kernel/engine_call.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void countStrayEvents(Metrics &metrics, const AnswerAssembler &assembler)
+void countDroppedEvents(Metrics &metrics, const AnswerAssembler &assembler)
 {
     const AssemblerCounters &counters = assembler.counters();
     metrics.add(Counter::StrayEvents,
@@ -71,7 +71,7 @@
 EngineResult<EngineProgress> EngineCall::read()
 {
     EngineProgress progress;
-    progress.m_from = m_assembler.answer().tokens();
+    progress.m_firstNewToken = m_assembler.answer().tokens();
     auto piece = m_exchange->read();
     if (const auto *failure = std::get_if<CallFailure>(&piece))
         return EngineFailure{failure->m_error, failure->m_phase};
@@ -82,9 +82,9 @@
             m_parser.feed(*bytes, [this](std::string_view data) { return takeEvent(data); });
     if (!succeeded(fed))
         return failed(errorOf(fed));
-    progress.m_to = m_assembler.answer().tokens();
-    progress.m_isWhole = m_assembler.hasCompleteAnswer();
-    if (!progress.m_isWhole)
+    progress.m_tokenCount = m_assembler.answer().tokens();
+    progress.m_isComplete = m_assembler.hasCompleteAnswer();
+    if (!progress.m_isComplete)
         return progress;
     // The end marker was the last event; what is left is the body's own end, which lets the
     // connection go back to the pool.
--- a/src/kernel/error_reply.cpp
+++ b/src/kernel/error_reply.cpp
@@ -7,7 +7,7 @@
 
 namespace gypsumdale {
 
-int statusOf(ErrorId id)
+int httpStatusOf(ErrorId id)
 {
     switch (id) {
     case ErrorId::RequestMalformed:
@@ -74,7 +74,7 @@
 HttpReply makeReply(const Error &error, Duration retryAfter, std::string body)
 {
     HttpReply reply;
-    reply.m_status = statusOf(error.m_id);
+    reply.m_status = httpStatusOf(error.m_id);
     reply.m_headers.add("Content-Type", "application/json");
     if (retryAfter > Duration::zero()) {
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(retryAfter).count();
--- a/src/kernel/fleet_driver.cpp
+++ b/src/kernel/fleet_driver.cpp
@@ -180,7 +180,7 @@
             return;
         }
         if (command.m_body.__isset.heartbeat)
-            m_exchange.recordHeartbeatBytes(m_context.m_peers.lastFrameBytes());
+            m_exchange.recordHeartbeatBytes(m_context.m_peers.lastHeartbeatBytes());
         const wire::PeerReplyBody &body = valueOf(reply).body;
         if (body.__isset.heartbeat) {
             takeInFlight(command.m_to.m_node, body.heartbeat);
--- a/src/kernel/health_reply.cpp
+++ b/src/kernel/health_reply.cpp
@@ -17,10 +17,10 @@
 
 HttpReply readyReply(Traffic &traffic)
 {
-    const auto reason = traffic.onControl([](Control &control) -> std::optional<Error> {
+    const auto reason = traffic.callControl([](Control &control) -> std::optional<Error> {
         if (!control.drain().isReady())
             return Error{ErrorId::Draining, "this process is shutting down"};
-        return control.notReady();
+        return control.unreadyReason();
     });
     return reason ? textReply(statusUnavailable, reason->m_text) : textReply(statusOk, "ok");
 }
--- a/src/kernel/job_call.cpp
+++ b/src/kernel/job_call.cpp
@@ -41,7 +41,7 @@
     }
     if (!request.isStreamed())
         m_collected.emplace();
-    auto offered = m_traffic.onControl([&](Control &control) {
+    auto offered = m_traffic.callControl([&](Control &control) {
         JobRequest job;
         job.m_member = m_member;
         job.m_profile = context.m_profile->m_id;
@@ -148,7 +148,7 @@
                 return;
             }
         }
-        if (std::holds_alternative<FeedOver>(*event)) {
+        if (std::holds_alternative<FeedEnded>(*event)) {
             fetchEnd();
             return;
         }
@@ -164,7 +164,7 @@
 void JobCall::fetchEnd()
 {
     // What the feed had no room for, or brought after the end, is read from the finished answer.
-    auto [answer, feed] = m_traffic.onControl([this](Control &control) {
+    auto [answer, feed] = m_traffic.callControl([this](Control &control) {
         return control.jobs().reattach(m_job, m_member, m_position);
     });
     if (const auto *served = std::get_if<ServeFrom>(&answer))
@@ -261,7 +261,7 @@
     m_position = position;
     m_writer.emplace(job.text(), ServiceId());
     for (;;) {
-        auto [answer, feed] = m_traffic.onControl([this](Control &control) {
+        auto [answer, feed] = m_traffic.callControl([this](Control &control) {
             return control.jobs().reattach(m_job, m_member, m_position);
         });
         if (const auto *served = std::get_if<ServeFrom>(&answer)) {
@@ -279,7 +279,7 @@
         const auto *elsewhere = std::get_if<RedirectToNode>(&answer);
         const bool isForwarded = original.m_headers.find(forwardedHeader).has_value();
         const auto located =
-                isForwarded ? std::nullopt : m_traffic.onControl([&](Control &control) {
+                isForwarded ? std::nullopt : m_traffic.callControl([&](Control &control) {
                     return control.jobs().locate(m_job, elsewhere ? std::optional(elsewhere->m_node)
                                                                   : std::nullopt);
                 });
--- a/src/kernel/job_driver.cpp
+++ b/src/kernel/job_driver.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-JobDriver::JobDriver(ControlContext &context, FleetDriver &fleet, RunAttempt runAttempt)
+JobDriver::JobDriver(ControlContext &context, FleetDriver &fleet, AttemptCallbacks runAttempt)
     : m_context(context)
     , m_fleet(fleet)
     , m_runAttempt(std::move(runAttempt))
@@ -46,11 +46,12 @@
 void JobDriver::runTicks()
 {
     for (;;) {
-        const bool isUp = m_context.m_platform.isUp();
-        if (isUp != m_platformUp) {
-            m_platformUp = isUp;
-            m_context.m_log.info("platform-state", {{LogField::State, isUp ? "up" : "down"}});
-            m_table.onPlatformChanged(isUp, m_context.now());
+        const bool isReachable = m_context.m_platform.isReachable();
+        if (isReachable != m_platformUp) {
+            m_platformUp = isReachable;
+            m_context.m_log.info("platform-state",
+                                 {{LogField::State, isReachable ? "up" : "down"}});
+            m_table.onPlatformChanged(isReachable, m_context.now());
         }
         m_table.tick(m_context.now(), m_context.wallNow());
         run();
@@ -235,7 +236,7 @@
     run();
 }
 
-std::size_t JobDriver::unfinished() const
+std::size_t JobDriver::unfinishedJobs() const
 {
     return m_table.isDrained() ? 0 : m_table.summaries().size();
 }
@@ -272,7 +273,7 @@
 }
 
 void JobDriver::askPeer(const NodeId &peer, const wire::PeerRequestBody &body,
-                        JobMessenger::TakeReply take)
+                        JobMessenger::ReplyHandler take)
 {
     m_messenger.ask(peer, body, std::move(take), [this, peer](bool hasAnswered) {
         if (!hasAnswered)
@@ -383,7 +384,7 @@
                                    isDone ? Decision::Done : Decision::Failed);
     }
     m_running.erase(command.m_job);
-    m_feeds.tell(command.m_job, FeedOver{command.m_state}, true);
+    m_feeds.tell(command.m_job, FeedEnded{command.m_state}, true);
 }
 
 void JobDriver::execute(const ReportOverruled &command)
--- a/src/kernel/job_messenger.cpp
+++ b/src/kernel/job_messenger.cpp
@@ -16,7 +16,7 @@
     , m_fleet(fleet)
 {}
 
-void JobMessenger::ask(const NodeId &peer, const wire::PeerRequestBody &body, TakeReply take,
+void JobMessenger::ask(const NodeId &peer, const wire::PeerRequestBody &body, ReplyHandler take,
                        std::function<void(bool)> onEnd)
 {
     m_context.m_loop.spawn([this, peer, body, take = std::move(take), onEnd = std::move(onEnd)] {
--- a/src/kernel/job_runner.cpp
+++ b/src/kernel/job_runner.cpp
@@ -41,9 +41,9 @@
         }
         const AttemptEnd end =
                 m_isCancelled ? AttemptEnd::Abandoned : stream(*placed, valueOf(request));
-        countStrayEvents(m_traffic.metrics(), m_assembler);
-        m_traffic.onControl([&](Control &control) {
-            control.admission().attemptEnded(m_command.m_request.m_service, requestId(), end);
+        countDroppedEvents(m_traffic.metrics(), m_assembler);
+        m_traffic.callControl([&](Control &control) {
+            control.admission().finishAttempt(m_command.m_request.m_service, requestId(), end);
         });
     }
 
@@ -51,7 +51,7 @@
     void cancel(const std::shared_ptr<Attempt> &self)
     {
         m_isCancelled = true;
-        m_traffic.tellControl([self](Control &control) {
+        m_traffic.postToControl([self](Control &control) {
             control.admission().cancel(self->m_command.m_request.m_service, self->requestId());
         });
         m_thread.m_loop.spawn([self] {
@@ -72,7 +72,7 @@
         waiting.m_promptTokens = request.promptTokens();
         waiting.m_expectedTokens = request.expectedTokens();
         waiting.m_prefixBlocks = request.prefixBlocks();
-        return m_traffic.onControl([&](Control &control) {
+        return m_traffic.callControl([&](Control &control) {
             const auto profile = control.config().view().profile(waiting.m_profile);
             // An accepted job waits as long as it takes; its deadline is the table's to watch.
             waiting.m_arrivedAt = control.context().now();
@@ -111,9 +111,9 @@
             if (const auto *failure = std::get_if<EngineFailure>(&result))
                 return failedBy(*failure);
             const auto &progress = std::get<EngineProgress>(result);
-            if (progress.m_to > progress.m_from)
+            if (progress.m_tokenCount > progress.m_firstNewToken)
                 reportTokens(progress);
-            if (progress.m_isWhole) {
+            if (progress.m_isComplete) {
                 reportWhole();
                 return AttemptEnd::Completed;
             }
@@ -123,11 +123,12 @@
     void reportTokens(const EngineProgress &progress)
     {
         AnswerText fresh;
-        for (std::int64_t index = progress.m_from; index < progress.m_to; ++index)
+        for (std::int64_t index = progress.m_firstNewToken; index < progress.m_tokenCount; ++index)
             fresh.append(m_assembler.answer().token(index));
-        m_traffic.tellControl([command = key(), epoch = m_command.m_epoch, from = progress.m_from,
-                               service = m_command.m_request.m_service, id = requestId(),
-                               fresh = std::move(fresh)](Control &control) {
+        m_traffic.postToControl([command = key(), epoch = m_command.m_epoch,
+                                 from = progress.m_firstNewToken,
+                                 service = m_command.m_request.m_service, id = requestId(),
+                                 fresh = std::move(fresh)](Control &control) {
             control.admission().tokens(service, id, static_cast<std::uint32_t>(fresh.tokens()));
             control.jobs().onTokens(command.first, command.second, epoch, from, fresh);
         });
@@ -135,8 +136,8 @@
 
     void reportWhole()
     {
-        m_traffic.tellControl([command = key(), tokens = m_assembler.answer().tokens(),
-                               reason = m_assembler.finishReason()](Control &control) {
+        m_traffic.postToControl([command = key(), tokens = m_assembler.answer().tokens(),
+                                 reason = m_assembler.finishReason()](Control &control) {
             control.jobs().onAttemptFinished(command.first, command.second, tokens, reason);
         });
     }
@@ -153,7 +154,7 @@
 
     void fail(bool isPermanent)
     {
-        m_traffic.tellControl([command = key(), isPermanent](Control &control) {
+        m_traffic.postToControl([command = key(), isPermanent](Control &control) {
             control.jobs().onAttemptFailed(command.first, command.second, isPermanent);
         });
     }
@@ -174,7 +175,7 @@
     : m_traffic(traffic)
 {}
 
-RunAttempt JobRunner::functions()
+AttemptCallbacks JobRunner::callbacks()
 {
     return {[this](const StartAttempt &command) { start(command); },
             [this](const CancelAttempt &command) {
@@ -190,7 +191,7 @@
     m_running[key] = attempt;
     thread.m_loop.spawn([this, attempt, key] {
         attempt->run();
-        m_traffic.tellControl([this, key](Control &) { m_running.erase(key); });
+        m_traffic.postToControl([this, key](Control &) { m_running.erase(key); });
     });
 }
 
--- a/src/kernel/log_io.cpp
+++ b/src/kernel/log_io.cpp
@@ -14,7 +14,7 @@
 {
     const Duration wait =
             failure.m_retryAfter > Duration::zero() ? failure.m_retryAfter : defaultRetry;
-    if (failure.m_trouble == PlatformTrouble::NoEffect)
+    if (failure.m_failureKind == PlatformFailureKind::NoEffect)
         return LogRefused{wait};
     return LogAnswerLost{wait};
 }
@@ -45,7 +45,7 @@
     if (auto *object = std::get_if<PlatformObject>(&result))
         return SegmentRead{std::move(object->m_body)};
     const auto &failure = std::get<PlatformFailure>(result);
-    if (failure.m_trouble == PlatformTrouble::NotFound)
+    if (failure.m_failureKind == PlatformFailureKind::NotFound)
         return SegmentMissing{};
     return failureAnswer(failure);
 }
@@ -57,7 +57,7 @@
     if (std::holds_alternative<ObjectVersion>(result))
         return SegmentCreated{};
     const auto &failure = std::get<PlatformFailure>(result);
-    if (failure.m_trouble == PlatformTrouble::Conflict)
+    if (failure.m_failureKind == PlatformFailureKind::Conflict)
         return SegmentConflict{};
     return failureAnswer(failure);
 }
@@ -68,7 +68,7 @@
     if (std::holds_alternative<Done>(result))
         return SegmentDeleted{};
     const auto &failure = std::get<PlatformFailure>(result);
-    if (failure.m_trouble == PlatformTrouble::NotFound)
+    if (failure.m_failureKind == PlatformFailureKind::NotFound)
         return SegmentDeleted{};
     return failureAnswer(failure);
 }
--- a/src/kernel/model_call.cpp
+++ b/src/kernel/model_call.cpp
@@ -44,7 +44,7 @@
     waiting.m_profile = context.m_profile->m_id;
     waiting.m_priority = context.m_profile->m_priority;
     waiting.m_arrivedAt = context.m_arrivedAt;
-    waiting.m_firstTokenBy =
+    waiting.m_firstTokenDeadline =
             std::min(context.m_arrivedAt + context.m_profile->m_queue.m_wait, context.m_deadline);
     waiting.m_promptTokens = request.promptTokens();
     waiting.m_expectedTokens = request.expectedTokens();
@@ -69,7 +69,7 @@
     m_responder.onCallerGone([this] { onCallerGone(); });
     for (;;) {
         const TimePoint askedAt = m_traffic.now();
-        const Placement placement = m_traffic.onControl([this](Control &control) {
+        const Placement placement = m_traffic.callControl([this](Control &control) {
             return control.admission().place(m_context.m_service, m_waiting);
         });
         m_context.m_series->record(Latency::Queueing, m_traffic.now() - askedAt);
@@ -91,12 +91,12 @@
             break;
         }
         m_info = retry->m_next;
-        m_waiting.m_tried.push_back(std::get<Placed>(placement).m_upstream);
+        m_waiting.m_triedUpstreams.push_back(std::get<Placed>(placement).m_upstream);
         sleepFiber(retry->m_backoff);
     }
     m_responder.onCallerGone(nullptr);
     m_traffic.metrics().add(Counter::TruncatedAnswers, m_truncated);
-    countStrayEvents(m_traffic.metrics(), m_assembler);
+    countDroppedEvents(m_traffic.metrics(), m_assembler);
 }
 
 ModelCall::Ended ModelCall::attempt(const Placed &placed)
@@ -137,7 +137,7 @@
                     {ErrorId::Cancelled, "the caller has gone"},
                     false};
         }
-        if (progress.m_isWhole)
+        if (progress.m_isComplete)
             return {};
         if (m_traffic.now() > m_context.m_deadline) {
             return {AttemptEnd::Abandoned,
@@ -169,7 +169,7 @@
 
 bool ModelCall::writeTokens(const EngineProgress &progress)
 {
-    if (progress.m_to > progress.m_from) {
+    if (progress.m_tokenCount > progress.m_firstNewToken) {
         const TimePoint now = m_traffic.now();
         if (!m_hasFirstToken) {
             m_hasFirstToken = true;
@@ -192,7 +192,7 @@
             return false;
     }
     m_buffer.clear();
-    for (std::int64_t index = progress.m_from; index < progress.m_to; ++index)
+    for (std::int64_t index = progress.m_firstNewToken; index < progress.m_tokenCount; ++index)
         m_writer.appendToken(m_buffer, index, m_assembler.answer().token(index));
     return m_buffer.empty() || m_responder.write(m_buffer);
 }
@@ -206,7 +206,7 @@
         return;
     m_reportedTokens += fresh;
     m_reportedAt = now;
-    m_traffic.tellControl(
+    m_traffic.postToControl(
             [id = m_context.m_id, service = m_context.m_service, fresh, isFirst](Control &control) {
                 if (isFirst)
                     control.admission().firstToken(service, id);
@@ -217,15 +217,15 @@
 void ModelCall::reportCompleted()
 {
     reportProgress(true);
-    m_traffic.tellControl([id = m_context.m_id, service = m_context.m_service,
-                           prompt = m_request.promptTokens(),
-                           tokens = static_cast<std::uint32_t>(m_assembler.answer().tokens()),
-                           isFirst = m_attempts == 1](Control &control) {
+    m_traffic.postToControl([id = m_context.m_id, service = m_context.m_service,
+                             prompt = m_request.promptTokens(),
+                             tokens = static_cast<std::uint32_t>(m_assembler.answer().tokens()),
+                             isFirst = m_attempts == 1](Control &control) {
         AdmissionDriver &admission = control.admission();
         if (isFirst)
-            admission.noteFirstAttempt(service);
+            admission.onFirstAttempt(service);
         admission.usage(service, id, prompt, tokens);
-        admission.attemptEnded(service, id, AttemptEnd::Completed);
+        admission.finishAttempt(service, id, AttemptEnd::Completed);
     });
 }
 
@@ -239,14 +239,14 @@
     state.m_deadline = m_context.m_deadline;
     const bool wantsRetry = !ended.m_isPermanent && ended.m_end != AttemptEnd::Abandoned;
     const bool isFirst = m_attempts == 1;
-    return m_traffic.onControl([&](Control &control) -> RetryDecision {
+    return m_traffic.callControl([&](Control &control) -> RetryDecision {
         AdmissionDriver &admission = control.admission();
         const ServiceId &service = m_context.m_service;
         if (isFirst)
-            admission.noteFirstAttempt(service);
+            admission.onFirstAttempt(service);
         // A request at fault itself says nothing against its upstream.
         const AttemptEnd end = ended.m_isPermanent ? AttemptEnd::Abandoned : ended.m_end;
-        admission.attemptEnded(service, m_context.m_id, end);
+        admission.finishAttempt(service, m_context.m_id, end);
         if (!wantsRetry)
             return NoRetry{};
         const RetryDecision decision = admission.decideRetry(service, state, m_retry);
@@ -266,7 +266,7 @@
     m_context.m_series->add(RequestCounter::PromptTokens, m_request.promptTokens());
     m_context.m_series->add(RequestCounter::GeneratedTokens,
                             static_cast<std::uint64_t>(m_assembler.answer().tokens()));
-    m_traffic.tellControl([id = m_context.m_id](Control &control) {
+    m_traffic.postToControl([id = m_context.m_id](Control &control) {
         control.context().m_journal.record(control.context().wallNow(), id, Decision::Done);
     });
     if (!m_request.isStreamed()) {
@@ -290,7 +290,7 @@
     m_context.m_series->add(m_isCallerGone ? RequestCounter::Cancelled
                             : isRefused    ? RequestCounter::Refused
                                            : RequestCounter::Failed);
-    m_traffic.tellControl([id = m_context.m_id, error, isRefused](Control &control) {
+    m_traffic.postToControl([id = m_context.m_id, error, isRefused](Control &control) {
         control.context().m_metrics.countError(error.m_id);
         control.context().m_journal.record(control.context().wallNow(), id,
                                            isRefused ? Decision::Refused : Decision::Failed,
@@ -315,7 +315,7 @@
     m_isCallerGone = true;
     if (m_call)
         m_call->cancel();
-    m_traffic.tellControl([id = m_context.m_id, service = m_context.m_service](Control &control) {
+    m_traffic.postToControl([id = m_context.m_id, service = m_context.m_service](Control &control) {
         control.admission().cancel(service, id);
     });
 }
--- a/src/kernel/plain_call.cpp
+++ b/src/kernel/plain_call.cpp
@@ -76,8 +76,8 @@
     m_waiting.m_profile = m_context.m_profile->m_id;
     m_waiting.m_priority = m_context.m_profile->m_priority;
     m_waiting.m_arrivedAt = m_context.m_arrivedAt;
-    m_waiting.m_firstTokenBy = std::min(m_context.m_arrivedAt + m_context.m_profile->m_queue.m_wait,
-                                        m_context.m_deadline);
+    m_waiting.m_firstTokenDeadline = std::min(
+            m_context.m_arrivedAt + m_context.m_profile->m_queue.m_wait, m_context.m_deadline);
     m_waiting.m_promptTokens = 1;
     m_waiting.m_expectedTokens = 1;
 }
@@ -94,7 +94,7 @@
 void PlainCall::runClaimed(const std::string &key)
 {
     const Digest digest = requestDigest(m_request, m_target);
-    const ClaimResult result = m_traffic.onControl([&](Control &control) {
+    const ClaimResult result = m_traffic.callControl([&](Control &control) {
         return control.claims().claim(m_context.m_member->m_id, key, digest, m_context.m_deadline);
     });
     if (const auto *granted = std::get_if<Granted>(&result))
@@ -144,7 +144,7 @@
     Ended ended;
     ended.m_error = {ErrorId::Internal, "not begun"};
     for (;;) {
-        const Placement placement = m_traffic.onControl([this](Control &control) {
+        const Placement placement = m_traffic.callControl([this](Control &control) {
             return control.admission().place(m_context.m_service, m_waiting);
         });
         if (const auto *notPlaced = std::get_if<NotPlaced>(&placement)) {
@@ -154,7 +154,7 @@
         }
         const bool isFirst = m_attempts == 0;
         // Right before the first byte: a holder that was paused past its deadline must not send.
-        const bool mayStart = !claimed || !isFirst || m_traffic.onControl([&](Control &control) {
+        const bool mayStart = !claimed || !isFirst || m_traffic.callControl([&](Control &control) {
             return control.claims().startAttempt(*claimed);
         });
         if (!mayStart) {
@@ -177,7 +177,7 @@
             return;
         }
         m_info = retry->m_next;
-        m_waiting.m_tried.push_back(std::get<Placed>(placement).m_upstream);
+        m_waiting.m_triedUpstreams.push_back(std::get<Placed>(placement).m_upstream);
         sleepFiber(retry->m_backoff);
     }
 }
@@ -244,11 +244,11 @@
 
 void PlainCall::reportAnswered()
 {
-    m_traffic.tellControl([id = m_context.m_id, service = m_context.m_service,
-                           isFirst = m_attempts == 1](Control &control) {
+    m_traffic.postToControl([id = m_context.m_id, service = m_context.m_service,
+                             isFirst = m_attempts == 1](Control &control) {
         if (isFirst)
-            control.admission().noteFirstAttempt(service);
-        control.admission().attemptEnded(service, id, AttemptEnd::Completed);
+            control.admission().onFirstAttempt(service);
+        control.admission().finishAttempt(service, id, AttemptEnd::Completed);
     });
 }
 
@@ -260,11 +260,11 @@
     state.m_startedAt = m_attemptAt;
     state.m_deadline = m_context.m_deadline;
     const bool isFirst = m_attempts <= 1;
-    return m_traffic.onControl([&](Control &control) -> RetryDecision {
+    return m_traffic.callControl([&](Control &control) -> RetryDecision {
         AdmissionDriver &admission = control.admission();
         if (isFirst)
-            admission.noteFirstAttempt(m_context.m_service);
-        admission.attemptEnded(m_context.m_service, m_context.m_id, attemptEndOf(ended.m_phase));
+            admission.onFirstAttempt(m_context.m_service);
+        admission.finishAttempt(m_context.m_service, m_context.m_id, attemptEndOf(ended.m_phase));
         if (m_attempts == 0)
             return NoRetry{};
         const RetryDecision decision = admission.decideRetry(m_context.m_service, state, m_retry);
@@ -283,7 +283,7 @@
         stored.m_status = ended.m_reply.m_status;
         stored.m_contentType = ended.m_reply.m_headers.value("Content-Type");
         stored.m_body = ended.m_reply.m_body;
-        m_traffic.tellControl([attempt = *claimed, outcome, stored](Control &control) {
+        m_traffic.postToControl([attempt = *claimed, outcome, stored](Control &control) {
             control.claims().finish(attempt, outcome, stored);
         });
     }
@@ -334,7 +334,7 @@
         series.add(RequestCounter::OutcomeUnknown);
         break;
     }
-    m_traffic.tellControl([id = m_context.m_id, outcome, error](Control &control) {
+    m_traffic.postToControl([id = m_context.m_id, outcome, error](Control &control) {
         if (outcome != Outcome::Done)
             control.context().m_metrics.countError(error.m_id);
         const Decision what = outcome == Outcome::Done     ? Decision::Done
--- a/src/kernel/platform_client.cpp
+++ b/src/kernel/platform_client.cpp
@@ -48,16 +48,18 @@
     const std::string text = fmt::format("the platform answered {}", reply.m_status);
     switch (reply.m_status) {
     case statusNotFound:
-        return {PlatformTrouble::NotFound, {ErrorId::PlatformNotFound, text}, {}};
+        return {PlatformFailureKind::NotFound, {ErrorId::PlatformNotFound, text}, {}};
     case statusGone:
-        return {PlatformTrouble::TooOld, {ErrorId::PlatformRefused, text}, {}};
+        return {PlatformFailureKind::TooOld, {ErrorId::PlatformRefused, text}, {}};
     case statusPreconditionFailed:
-        return {PlatformTrouble::Conflict, {ErrorId::PlatformConflict, text}, {}};
+        return {PlatformFailureKind::Conflict, {ErrorId::PlatformConflict, text}, {}};
     case statusTooManyRequests:
-        return {PlatformTrouble::NoEffect, {ErrorId::PlatformRefused, text}, retryAfterOf(reply)};
+        return {PlatformFailureKind::NoEffect,
+                {ErrorId::PlatformRefused, text},
+                retryAfterOf(reply)};
     default:
         // A 5xx says nothing about whether a write took effect.
-        return {PlatformTrouble::AnswerLost,
+        return {PlatformFailureKind::AnswerLost,
                 {ErrorId::PlatformUnreachable, text},
                 retryAfterOf(reply)};
     }
@@ -66,16 +68,18 @@
 PlatformFailure failureOf(const CallFailure &failure)
 {
     if (failure.m_phase == SendPhase::NothingSent) {
-        return {PlatformTrouble::NoEffect,
+        return {PlatformFailureKind::NoEffect,
                 {ErrorId::PlatformUnreachable, failure.m_error.m_text},
                 {}};
     }
-    return {PlatformTrouble::AnswerLost, {ErrorId::PlatformAnswerLost, failure.m_error.m_text}, {}};
+    return {PlatformFailureKind::AnswerLost,
+            {ErrorId::PlatformAnswerLost, failure.m_error.m_text},
+            {}};
 }
 
 PlatformFailure malformed()
 {
-    return {PlatformTrouble::AnswerLost,
+    return {PlatformFailureKind::AnswerLost,
             {ErrorId::PlatformUnreachable,
              "the platform's answer is not what docs/PLATFORM.md says"},
             {}};
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -38,13 +38,13 @@
 void AdmissionController::updateUpstream(const UpstreamReport &state, TimePoint)
 {
     if (m_upstreams.update(state))
-        forgetUpstream(m_routing, state.m_upstream);
+        dropUpstreamState(m_routing, state.m_upstream);
 }
 
 void AdmissionController::removeUpstream(const UpstreamId &upstream)
 {
     if (m_upstreams.remove(upstream))
-        forgetUpstream(m_routing, upstream);
+        dropUpstreamState(m_routing, upstream);
 }
 
 void AdmissionController::mergePeer(const NodeId &peer, std::uint64_t incarnation,
@@ -54,9 +54,9 @@
         m_queue.mergePeer(peer, incarnation, load.m_tokens);
 }
 
-void AdmissionController::noteCacheEvent(const CacheEvent &event, TimePoint now)
+void AdmissionController::applyCacheEvent(const CacheEvent &event, TimePoint now)
 {
-    gypsumdale::noteCacheEvent(m_routing, event, now);
+    gypsumdale::applyCacheEvent(m_routing, event, now);
 }
 
 AdmissionCommands AdmissionController::submit(WaitingRequest request, TimePoint now)
@@ -86,20 +86,20 @@
 {
     if (m_isDraining)
         return Refuse{request.m_id, ErrorId::Draining, retryAfter(drainingRetryAfter)};
-    if (!m_upstreams.hasStaying())
+    if (!m_upstreams.hasNonLeavingUpstream())
         return Refuse{request.m_id, ErrorId::NoUpstream, retryAfter(noUpstreamRetryAfter)};
     return std::nullopt;
 }
 
 Refuse AdmissionController::fullRefusal(const WaitingRequest &request, ErrorId error, TimePoint now)
 {
-    const Duration wait = waitEstimate(request.m_member, request.m_priority, now);
+    const Duration wait = estimateWait(request.m_member, request.m_priority, now);
     return Refuse{request.m_id, error, retryAfter(wait)};
 }
 
 bool AdmissionController::makeRoom(const MemberId &member, AdmissionCommands &commands)
 {
-    const std::optional<WaitingRequest> dropped = m_queue.makeRoomFor(member);
+    const std::optional<WaitingRequest> dropped = m_queue.evictFor(member);
     if (!dropped)
         return false;
     commands.emplace_back(Refuse{dropped->m_id, ErrorId::QueueFull, retryAfter(backlog())});
@@ -110,13 +110,13 @@
 {
     AdmissionCommands commands;
     m_upstreams.refresh(now);
-    if (!m_upstreams.hasStaying())
+    if (!m_upstreams.hasNonLeavingUpstream())
         refuseWaiting(ErrorId::NoUpstream, noUpstreamRetryAfter, commands);
     // First what is too late even if dispatched now, so that no slot is spent on it; after the
     // dispatches what would have to wait too long.
     expire(now, 0.0, commands);
     dispatchWaiting(now, commands);
-    m_rate.served(0, now, m_queue.waiting() > 0);
+    m_rate.recordServed(0, now, m_queue.waiting() > 0);
     expire(now, m_rate.tokensPerSecond(), commands);
     return commands;
 }
@@ -126,7 +126,7 @@
     const auto firstToken = [this, now](const WaitingRequest &request) {
         return m_firstTokens.estimate(request.m_profile, now);
     };
-    for (const GivenUp &one : m_queue.expire(now, tokensPerSecond, firstToken))
+    for (const ExpiredRequest &one : m_queue.expire(now, tokensPerSecond, firstToken))
         commands.emplace_back(
                 Refuse{one.m_request, ErrorId::DeadlineUnreachable, retryAfter(one.m_retryAfter)});
 }
@@ -135,7 +135,7 @@
 {
     if (m_queue.waiting() == 0)
         return;
-    const bool mayLeaveRegion = backlog() > m_settings.m_spillAfter;
+    const bool mayLeaveRegion = backlog() > m_settings.m_spillWait;
     std::vector<Candidate> free = m_upstreams.freeCandidates(mayLeaveRegion, now);
     m_slots = m_settings.m_headroom > 0.0 ? m_upstreams.countSlots(now) : SlotCount{};
     const auto filter = [this](const MemberId &member) {
@@ -156,7 +156,7 @@
     const std::optional<UpstreamId> chosen = choose(m_routing, wanted, free, now, m_random);
     if (!chosen)
         return Refuse{request.m_id, ErrorId::NoUpstream, retryAfter(noUpstreamRetryAfter)};
-    noteDispatch(m_routing, *chosen, wanted, now);
+    recordDispatch(m_routing, *chosen, wanted, now);
     Dispatch result = dispatch(std::move(request), *chosen, now);
     const auto at = std::find_if(free.begin(), free.end(), [&chosen](const Candidate &one) {
         return one.m_upstream == *chosen;
@@ -171,14 +171,14 @@
 RoutingRequest AdmissionController::routingRequest(const WaitingRequest &request,
                                                    TimePoint now) const
 {
-    const bool hasTarget = request.m_firstTokenBy != TimePoint::max();
+    const bool hasTarget = request.m_firstTokenDeadline != TimePoint::max();
     return RoutingRequest{m_place.m_dataCentre,
                           m_place.m_region,
                           request.m_promptTokens,
                           request.m_expectedTokens,
-                          hasTarget ? request.m_firstTokenBy - now : Duration::max(),
+                          hasTarget ? request.m_firstTokenDeadline - now : Duration::max(),
                           request.m_prefixBlocks,
-                          request.m_tried};
+                          request.m_triedUpstreams};
 }
 
 Dispatch AdmissionController::dispatch(WaitingRequest request, const UpstreamId &id, TimePoint now)
@@ -186,7 +186,7 @@
     const std::uint64_t incarnation = m_upstreams.dispatched(id, now);
     m_members.started(request.m_member);
     ++m_slots.m_used;
-    m_rate.served(expectedCost(request), now, m_queue.waiting() > 0);
+    m_rate.recordServed(expectedCost(request), now, m_queue.waiting() > 0);
     Running &running = m_running[request.m_id];
     running.m_member = request.m_member;
     running.m_profile = request.m_profile;
@@ -235,12 +235,12 @@
     if (found == m_running.end())
         return;
     const std::uint64_t actual = std::uint64_t{promptTokens} + generated;
-    m_queue.correct(found->second.m_member, found->second.m_charged, actual);
+    m_queue.correctCharge(found->second.m_member, found->second.m_charged, actual);
     found->second.m_charged = actual;
 }
 
-AdmissionCommands AdmissionController::attemptEnded(const RequestId &request, AttemptEnd end,
-                                                    TimePoint now)
+AdmissionCommands AdmissionController::finishAttempt(const RequestId &request, AttemptEnd end,
+                                                     TimePoint now)
 {
     const auto found = m_running.find(request);
     if (found == m_running.end())
@@ -262,7 +262,7 @@
 
 void AdmissionController::refuseWaiting(ErrorId error, Duration wait, AdmissionCommands &commands)
 {
-    for (const WaitingRequest &request : m_queue.takeAll())
+    for (const WaitingRequest &request : m_queue.removeAllWaiting())
         commands.emplace_back(Refuse{request.m_id, error, retryAfter(wait)});
 }
 
@@ -271,7 +271,7 @@
     return NodeLoad{m_queue.ownCounts(), m_upstreams.inFlight()};
 }
 
-Duration AdmissionController::waitEstimate(const MemberId &member, int priority, TimePoint) const
+Duration AdmissionController::estimateWait(const MemberId &member, int priority, TimePoint) const
 {
     const double rate = m_rate.tokensPerSecond();
     if (rate <= 0.0)
--- a/src/policy/admission_upstreams.cpp
+++ b/src/policy/admission_upstreams.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-AdmissionUpstreams::AdmissionUpstreams(AdmissionPlace place, const AdmissionSettings &settings)
+AdmissionUpstreams::AdmissionUpstreams(AdmissionLocation place, const AdmissionSettings &settings)
     : m_place(std::move(place))
     , m_settings(settings)
     , m_peers(m_place.m_node, settings.m_slots, settings.m_peerMaxAge)
@@ -35,7 +35,7 @@
 bool AdmissionUpstreams::mergePeer(const NodeId &peer, std::uint64_t incarnation,
                                    const InFlightByUpstream &inFlight, TimePoint now)
 {
-    if (m_peers.isOutdated(peer, incarnation))
+    if (m_peers.isSuperseded(peer, incarnation))
         return false;
     if (m_peers.isStale(peer)) {
         m_peers.merge(peer, incarnation, inFlight, now);
@@ -106,7 +106,7 @@
 void AdmissionUpstreams::refresh(TimePoint now)
 {
     m_outlier.checkSilence(now);
-    if (m_peers.markStale(now))
+    if (m_peers.markStalePeers(now))
         recountAll();
 }
 
@@ -127,7 +127,7 @@
     m_outlier.heard(upstream, now);
     const auto found = m_upstreams.find(upstream);
     if (found != m_upstreams.end())
-        found->second.m_measures.noteFirstToken(taken, now);
+        found->second.m_measures.recordFirstTokenTime(taken, now);
 }
 
 void AdmissionUpstreams::tokens(const UpstreamId &upstream, std::uint32_t count, Duration passed,
@@ -136,7 +136,7 @@
     m_outlier.heard(upstream, now);
     const auto found = m_upstreams.find(upstream);
     if (found != m_upstreams.end() && passed > Duration{})
-        found->second.m_measures.noteTokens(count, passed);
+        found->second.m_measures.recordTokenInterval(count, passed);
 }
 
 void AdmissionUpstreams::ended(const UpstreamId &id, std::uint64_t incarnation, AttemptEnd end,
@@ -159,17 +159,17 @@
     const UpstreamId &id = upstream.m_state.m_upstream;
     switch (end) {
     case AttemptEnd::Completed:
-        m_outlier.succeeded(id, now);
+        m_outlier.onSuccess(id, now);
         return;
     case AttemptEnd::Abandoned:
-        m_outlier.abandoned(id);
+        m_outlier.onAbandoned(id);
         return;
     case AttemptEnd::Failed:
     case AttemptEnd::Refused:
         break;
     }
-    m_outlier.failed(id, now);
-    upstream.m_measures.noteFailure(now);
+    m_outlier.onFailure(id, now);
+    upstream.m_measures.recordFailure(now);
 }
 
 std::uint32_t AdmissionUpstreams::inFlightAt(const UpstreamId &upstream) const
@@ -190,7 +190,7 @@
 
 // --- slots ------------------------------------------------------------------------------------
 
-bool AdmissionUpstreams::hasStaying() const
+bool AdmissionUpstreams::hasNonLeavingUpstream() const
 {
     return std::any_of(m_upstreams.begin(), m_upstreams.end(),
                        [](const auto &entry) { return !entry.second.m_state.m_isLeaving; });
@@ -214,7 +214,8 @@
     if (state.m_dataCentre != m_place.m_dataCentre)
         return hasForeignSlot(upstream, now) ? foreignAllowance(state) : upstream.m_own;
     const auto nodes = m_peers.nodeCount();
-    const std::uint32_t lent = lentSlots(state.m_slots, nodes, m_peers.ownRank(state.m_upstream));
+    const std::uint32_t lent =
+            evenSlotShare(state.m_slots, nodes, m_peers.ownRank(state.m_upstream));
     // What peers keep as their own headroom isn't idle: nodes that took it for free would borrow
     // each other's headroom away.
     const auto peers =
@@ -224,7 +225,7 @@
 
 bool AdmissionUpstreams::isUsable(const Upstream &upstream, TimePoint now) const
 {
-    return !upstream.m_state.m_isLeaving && m_outlier.mayUse(upstream.m_state.m_upstream, now);
+    return !upstream.m_state.m_isLeaving && m_outlier.canUse(upstream.m_state.m_upstream, now);
 }
 
 bool AdmissionUpstreams::isFree(const Upstream &upstream, TimePoint now) const
@@ -252,8 +253,8 @@
     view.m_rank = m_peers.ownRank(state.m_upstream);
     view.m_own = upstream.m_own;
     view.m_peers = upstream.m_peers;
-    view.m_ownHeard = upstream.m_history.leastSince(now - m_settings.m_slots.m_window);
-    return mayDispatch(view);
+    view.m_ownMinimum = upstream.m_history.minimumSince(now - m_settings.m_slots.m_window);
+    return canDispatch(view);
 }
 
 bool AdmissionUpstreams::hasForeignSlot(const Upstream &upstream, TimePoint now) const
--- a/src/policy/detail/routing_filter.cpp
+++ b/src/policy/detail/routing_filter.cpp
@@ -22,7 +22,7 @@
 
 bool canServe(const RoutingRequest &request, const Candidate &candidate)
 {
-    return hasFreeSlot(candidate) && candidate.m_firstToken <= request.m_firstTokenIn;
+    return hasFreeSlot(candidate) && candidate.m_firstToken <= request.m_firstTokenTimeLeft;
 }
 
 bool someCanServe(const RoutingRequest &request, const CandidatePointers &candidates)
@@ -33,13 +33,14 @@
 
 bool wasTried(const RoutingRequest &request, const Candidate &candidate)
 {
-    const auto &tried = request.m_tried;
+    const auto &tried = request.m_triedUpstreams;
     return std::find(tried.begin(), tried.end(), candidate.m_upstream) != tried.end();
 }
 
 } // namespace
 
-CandidatePointers eligible(const RoutingRequest &request, std::span<const Candidate> candidates)
+CandidatePointers eligibleCandidates(const RoutingRequest &request,
+                                     std::span<const Candidate> candidates)
 {
     CandidatePointers staying;
     for (const Candidate &candidate : candidates) {
--- a/src/policy/fair_queue.cpp
+++ b/src/policy/fair_queue.cpp
@@ -38,7 +38,7 @@
     Member &member = m_members[id];
     if (member.m_waiting == 0) {
         const double mostCredit = m_counters.highestService() - m_settings.m_maxCredit;
-        m_counters.lift(id, std::max(m_virtualTime, mostCredit));
+        m_counters.raiseService(id, std::max(m_virtualTime, mostCredit));
     }
     const std::uint64_t cost = expectedCost(request);
     Lane &lane = member.m_lanes[request.m_priority];
@@ -172,10 +172,10 @@
     m_index.erase(request.m_id);
 }
 
-std::vector<GivenUp> FairQueue::expire(TimePoint now, double tokensPerSecond,
-                                       const FirstTokenEstimate &firstToken)
+std::vector<ExpiredRequest> FairQueue::expire(TimePoint now, double tokensPerSecond,
+                                              const FirstTokenEstimate &firstToken)
 {
-    std::vector<GivenUp> result;
+    std::vector<ExpiredRequest> result;
     const Outlook outlook{now, tokensPerSecond, static_cast<double>(m_waitingTokens), firstToken};
     for (auto &[id, member] : m_members) {
         const double factor = shareFactor(id);
@@ -189,7 +189,7 @@
 }
 
 void FairQueue::expireLane(Member &member, Lane &lane, const Outlook &outlook, double factor,
-                           double &own, std::vector<GivenUp> &result)
+                           double &own, std::vector<ExpiredRequest> &result)
 {
     std::deque<WaitingRequest> kept;
     for (WaitingRequest &request : lane.m_requests) {
@@ -198,18 +198,18 @@
                                       ? fromSeconds(ahead / outlook.m_tokensPerSecond)
                                       : Duration{};
         const Duration answer = outlook.m_firstToken ? outlook.m_firstToken(request) : Duration{};
-        if (request.m_firstTokenBy - outlook.m_now > wait + answer) {
+        if (request.m_firstTokenDeadline - outlook.m_now > wait + answer) {
             own += static_cast<double>(expectedCost(request));
             kept.push_back(std::move(request));
             continue;
         }
-        result.push_back(GivenUp{request.m_id, wait});
+        result.push_back(ExpiredRequest{request.m_id, wait});
         forget(member, lane, request);
     }
     lane.m_requests = std::move(kept);
 }
 
-std::vector<WaitingRequest> FairQueue::takeAll()
+std::vector<WaitingRequest> FairQueue::removeAllWaiting()
 {
     std::vector<WaitingRequest> result;
     for (auto &[id, member] : m_members) {
@@ -223,7 +223,7 @@
     return result;
 }
 
-std::optional<WaitingRequest> FairQueue::makeRoomFor(const MemberId &member)
+std::optional<WaitingRequest> FairQueue::evictFor(const MemberId &member)
 {
     const auto load = [this](const MemberId &id) {
         return static_cast<double>(waiting(id)) / m_counters.weight(id);
@@ -275,9 +275,9 @@
     m_counters.charge(member, tokens);
 }
 
-void FairQueue::correct(const MemberId &member, std::uint64_t charged, std::uint64_t actual)
+void FairQueue::correctCharge(const MemberId &member, std::uint64_t charged, std::uint64_t actual)
 {
-    m_counters.correct(member, charged, actual);
+    m_counters.correctCharge(member, charged, actual);
 }
 
 void FairQueue::mergePeer(const NodeId &peer, std::uint64_t incarnation, const TokenCounts &counts)
--- a/src/policy/outlier.cpp
+++ b/src/policy/outlier.cpp
@@ -30,7 +30,7 @@
     m_entries[upstream].m_heardAt = now;
 }
 
-void OutlierDetector::succeeded(const UpstreamId &upstream, TimePoint now)
+void OutlierDetector::onSuccess(const UpstreamId &upstream, TimePoint now)
 {
     Entry &entry = m_entries[upstream];
     const std::uint32_t left = entry.m_outstanding - std::min(entry.m_outstanding, 1U);
@@ -39,7 +39,7 @@
     entry.m_heardAt = now;
 }
 
-void OutlierDetector::failed(const UpstreamId &upstream, TimePoint now)
+void OutlierDetector::onFailure(const UpstreamId &upstream, TimePoint now)
 {
     Entry &entry = m_entries[upstream];
     entry.m_outstanding -= std::min(entry.m_outstanding, 1U);
@@ -55,7 +55,7 @@
         eject(entry, now);
 }
 
-void OutlierDetector::abandoned(const UpstreamId &upstream)
+void OutlierDetector::onAbandoned(const UpstreamId &upstream)
 {
     Entry &entry = m_entries[upstream];
     entry.m_outstanding -= std::min(entry.m_outstanding, 1U);
@@ -64,11 +64,11 @@
 
 void OutlierDetector::checkSilence(TimePoint now)
 {
-    if (m_settings.m_silence == Duration{})
+    if (m_settings.m_silenceLimit == Duration{})
         return;
     for (auto &[upstream, entry] : m_entries) {
         const bool isSilent =
-                entry.m_outstanding > 0 && now - entry.m_heardAt >= m_settings.m_silence;
+                entry.m_outstanding > 0 && now - entry.m_heardAt >= m_settings.m_silenceLimit;
         if (!isSilent || (entry.m_isEjected && !entry.m_isProbing))
             continue;
         if (entry.m_isEjected || mayEjectOne())
@@ -81,7 +81,7 @@
     m_entries.erase(upstream);
 }
 
-bool OutlierDetector::mayUse(const UpstreamId &upstream, TimePoint now) const
+bool OutlierDetector::canUse(const UpstreamId &upstream, TimePoint now) const
 {
     const auto found = m_entries.find(upstream);
     if (found == m_entries.end() || !found->second.m_isEjected)
@@ -112,8 +112,8 @@
 void OutlierDetector::eject(Entry &entry, TimePoint now)
 {
     const Duration length =
-            m_settings.m_ejection * (1U << std::min(entry.m_ejections, mostDoublings));
-    entry.m_ejectedUntil = now + std::min(length, m_settings.m_longestEjection);
+            m_settings.m_firstEjection * (1U << std::min(entry.m_ejections, mostDoublings));
+    entry.m_ejectedUntil = now + std::min(length, m_settings.m_maxEjection);
     ++entry.m_ejections;
     entry.m_isEjected = true;
     entry.m_isProbing = false;
--- a/src/policy/peer_slots.cpp
+++ b/src/policy/peer_slots.cpp
@@ -24,7 +24,7 @@
     m_ownIndex = static_cast<std::size_t>(own - m_nodes.begin());
 }
 
-bool PeerSlots::isOutdated(const NodeId &peer, std::uint64_t incarnation) const
+bool PeerSlots::isSuperseded(const NodeId &peer, std::uint64_t incarnation) const
 {
     const auto found = m_peers.find(peer);
     return found != m_peers.end() && incarnation < found->second.m_incarnation;
@@ -48,7 +48,7 @@
     m_peers[peer] = Peer{incarnation, std::move(inFlight), now, false};
 }
 
-bool PeerSlots::markStale(TimePoint now)
+bool PeerSlots::markStalePeers(TimePoint now)
 {
     bool hasChanged = false;
     for (auto &[id, peer] : m_peers) {
@@ -70,7 +70,7 @@
 std::uint32_t PeerSlots::chargeOf(std::size_t node, const UpstreamId &upstream,
                                   std::uint32_t slots) const
 {
-    const std::uint32_t lent = lentSlots(slots, nodeCount(), rankOf(node, upstream));
+    const std::uint32_t lent = evenSlotShare(slots, nodeCount(), rankOf(node, upstream));
     const auto peer = m_peers.find(m_nodes[node]);
     if (peer == m_peers.end() || peer->second.m_isStale)
         return lent;
--- a/src/policy/prefix_memory.cpp
+++ b/src/policy/prefix_memory.cpp
@@ -2,13 +2,13 @@
 
 namespace gypsumdale {
 
-PrefixMemory::PrefixMemory(std::size_t blocksPerUpstream, Duration maxAge)
+PrefixCacheIndex::PrefixCacheIndex(std::size_t blocksPerUpstream, Duration maxAge)
     : m_blocksPerUpstream(blocksPerUpstream)
     , m_maxAge(maxAge)
 {}
 
-void PrefixMemory::remember(const UpstreamId &upstream, std::span<const std::uint64_t> blocks,
-                            TimePoint now)
+void PrefixCacheIndex::recordBlocks(const UpstreamId &upstream,
+                                    std::span<const std::uint64_t> blocks, TimePoint now)
 {
     Memory &memory = m_upstreams[upstream];
     // From the last block on, so that the leading ones, which others share, are forgotten last.
@@ -26,7 +26,7 @@
     }
 }
 
-void PrefixMemory::evict(const UpstreamId &upstream, std::span<const std::uint64_t> blocks)
+void PrefixCacheIndex::evict(const UpstreamId &upstream, std::span<const std::uint64_t> blocks)
 {
     const auto found = m_upstreams.find(upstream);
     if (found == m_upstreams.end())
@@ -41,7 +41,7 @@
     }
 }
 
-void PrefixMemory::distrust(const UpstreamId &upstream, TimePoint now)
+void PrefixCacheIndex::halveLifetimes(const UpstreamId &upstream, TimePoint now)
 {
     const auto found = m_upstreams.find(upstream);
     if (found == m_upstreams.end())
@@ -53,13 +53,13 @@
     }
 }
 
-void PrefixMemory::forget(const UpstreamId &upstream)
+void PrefixCacheIndex::forget(const UpstreamId &upstream)
 {
     m_upstreams.erase(upstream);
 }
 
-std::size_t PrefixMemory::match(const UpstreamId &upstream, std::span<const std::uint64_t> blocks,
-                                TimePoint now) const
+std::size_t PrefixCacheIndex::match(const UpstreamId &upstream,
+                                    std::span<const std::uint64_t> blocks, TimePoint now) const
 {
     const auto found = m_upstreams.find(upstream);
     if (found == m_upstreams.end())
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -66,7 +66,7 @@
     , m_tokens(std::min(settings.m_initialTokens, settings.m_maxTokens))
 {}
 
-void RetryBudget::firstAttempt()
+void RetryBudget::recordFirstAttempt()
 {
     m_tokens = std::min(m_tokens + m_settings.m_ratio, m_settings.m_maxTokens);
 }
@@ -113,7 +113,7 @@
                        caller->m_timeLeft};
 }
 
-AttemptInfo infoForBelow(const AttemptInfo &info, TimePoint deadline, TimePoint now)
+AttemptInfo downstreamAttemptInfo(const AttemptInfo &info, TimePoint deadline, TimePoint now)
 {
     const Duration left =
             deadline == TimePoint::max() ? Duration::max() : std::max(deadline - now, Duration{});
--- a/src/policy/routing.cpp
+++ b/src/policy/routing.cpp
@@ -25,18 +25,18 @@
                       policy);
 }
 
-void noteDispatch(RoutingPolicy &policy, const UpstreamId &upstream, const RoutingRequest &request,
-                  TimePoint now)
+void recordDispatch(RoutingPolicy &policy, const UpstreamId &upstream,
+                    const RoutingRequest &request, TimePoint now)
 {
     std::visit([&](auto &way) { way.dispatched(upstream, request, now); }, policy);
 }
 
-void noteCacheEvent(RoutingPolicy &policy, const CacheEvent &event, TimePoint now)
+void applyCacheEvent(RoutingPolicy &policy, const CacheEvent &event, TimePoint now)
 {
     std::visit([&](auto &way) { way.cacheEvent(event, now); }, policy);
 }
 
-void forgetUpstream(RoutingPolicy &policy, const UpstreamId &upstream)
+void dropUpstreamState(RoutingPolicy &policy, const UpstreamId &upstream)
 {
     std::visit([&](auto &way) { way.forget(upstream); }, policy);
 }
--- a/src/policy/routing_least_outstanding.cpp
+++ b/src/policy/routing_least_outstanding.cpp
@@ -10,7 +10,7 @@
                                                    std::span<const Candidate> candidates, TimePoint,
                                                    pcg32 &)
 {
-    const detail::CandidatePointers left = detail::eligible(request, candidates);
+    const detail::CandidatePointers left = detail::eligibleCandidates(request, candidates);
     if (left.empty())
         return std::nullopt;
     const auto best = std::min_element(
--- a/src/policy/routing_power_of_two.cpp
+++ b/src/policy/routing_power_of_two.cpp
@@ -8,7 +8,7 @@
                                              std::span<const Candidate> candidates, TimePoint,
                                              pcg32 &random)
 {
-    const detail::CandidatePointers left = detail::eligible(request, candidates);
+    const detail::CandidatePointers left = detail::eligibleCandidates(request, candidates);
     if (left.empty())
         return std::nullopt;
     const auto count = static_cast<std::uint32_t>(left.size());
--- a/src/policy/routing_prefix_affinity.cpp
+++ b/src/policy/routing_prefix_affinity.cpp
@@ -23,7 +23,7 @@
                                                  std::span<const Candidate> candidates,
                                                  TimePoint now, pcg32 &random)
 {
-    const detail::CandidatePointers left = detail::eligible(request, candidates);
+    const detail::CandidatePointers left = detail::eligibleCandidates(request, candidates);
     if (left.empty())
         return std::nullopt;
     const Candidate *best = nullptr;
@@ -36,7 +36,8 @@
         bestScore = candidateScore;
     };
     const auto count = static_cast<std::uint32_t>(left.size());
-    for (std::size_t draw = 0; draw < std::max<std::size_t>(m_settings.m_choices, 1); ++draw)
+    for (std::size_t draw = 0; draw < std::max<std::size_t>(m_settings.m_randomCandidates, 1);
+         ++draw)
         consider(left[random(count)]);
     for (const Candidate *one : left) {
         if (m_memory.match(one->m_upstream, request.m_prefixBlocks, now) > 0)
@@ -48,15 +49,15 @@
 void PrefixAffinity::dispatched(const UpstreamId &upstream, const RoutingRequest &request,
                                 TimePoint now)
 {
-    m_memory.remember(upstream, request.m_prefixBlocks, now);
+    m_memory.recordBlocks(upstream, request.m_prefixBlocks, now);
 }
 
 void PrefixAffinity::cacheEvent(const CacheEvent &event, TimePoint now)
 {
     if (event.m_isAfterGap)
-        m_memory.distrust(event.m_upstream, now);
+        m_memory.halveLifetimes(event.m_upstream, now);
     m_memory.evict(event.m_upstream, event.m_evicted);
-    m_memory.remember(event.m_upstream, event.m_added, now);
+    m_memory.recordBlocks(event.m_upstream, event.m_added, now);
 }
 
 void PrefixAffinity::forget(const UpstreamId &upstream)
@@ -71,7 +72,7 @@
     const double cached = std::min(static_cast<double>(blocks * m_settings.m_blockTokens),
                                    static_cast<double>(request.m_promptTokens));
     const double prefill = (request.m_promptTokens - cached) / m_settings.m_prefillTokensPerSecond;
-    const double step = toSeconds(m_settings.m_queueingStep);
+    const double step = toSeconds(m_settings.m_delayPerQueuedRequest);
     const double queueing = step * estimatedLoad(candidate);
     const double price = m_settings.m_priceWeight * candidate.m_pricePerHour;
     const double answer = request.m_expectedTokens / tokensPerRisk;
--- a/src/policy/routing_round_robin.cpp
+++ b/src/policy/routing_round_robin.cpp
@@ -8,7 +8,7 @@
                                              std::span<const Candidate> candidates, TimePoint,
                                              pcg32 &)
 {
-    const detail::CandidatePointers left = detail::eligible(request, candidates);
+    const detail::CandidatePointers left = detail::eligibleCandidates(request, candidates);
     if (left.empty())
         return std::nullopt;
     return left[m_turn++ % left.size()]->m_upstream;
--- a/src/policy/service_rate.cpp
+++ b/src/policy/service_rate.cpp
@@ -15,7 +15,7 @@
     : m_halfLife(toSeconds(halfLife))
 {}
 
-void ServiceRate::served(std::uint64_t tokens, TimePoint now, bool isBacklogged)
+void ServiceRate::recordServed(std::uint64_t tokens, TimePoint now, bool isBacklogged)
 {
     if (m_wasBacklogged) {
         const double passed = toSeconds(now - m_lastAt);
--- a/src/policy/slot_share.cpp
+++ b/src/policy/slot_share.cpp
@@ -6,7 +6,7 @@
 
 namespace gypsumdale {
 
-std::uint32_t lentSlots(std::uint32_t slots, std::uint32_t nodes, std::uint32_t rank)
+std::uint32_t evenSlotShare(std::uint32_t slots, std::uint32_t nodes, std::uint32_t rank)
 {
     if (nodes == 0)
         return slots;
@@ -21,12 +21,12 @@
     return std::max(reported, static_cast<std::uint32_t>(reserve));
 }
 
-bool mayDispatch(const SlotView &view)
+bool canDispatch(const SlotView &view)
 {
-    const std::uint32_t lent = lentSlots(view.m_slots, view.m_nodes, view.m_rank);
+    const std::uint32_t lent = evenSlotShare(view.m_slots, view.m_nodes, view.m_rank);
     if (view.m_own < lent)
         return true;
-    const std::uint32_t heard = std::min(view.m_own, view.m_ownHeard);
+    const std::uint32_t heard = std::min(view.m_own, view.m_ownMinimum);
     const std::uint64_t known = std::uint64_t{heard} + view.m_peers;
     if (lent == 0 && view.m_own == 0 && known < view.m_slots)
         return true;
@@ -39,7 +39,7 @@
 {
     std::uint32_t bound = 0;
     for (std::uint32_t rank = 0; rank + 1 < nodes; ++rank) {
-        const std::uint32_t lent = lentSlots(slots, nodes, rank);
+        const std::uint32_t lent = evenSlotShare(slots, nodes, rank);
         bound += lent - std::min(lent, peerCharge(settings, 0, lent));
     }
     const std::uint32_t withoutSlot = nodes - std::min(nodes, slots);
@@ -60,7 +60,7 @@
         m_leasts.pop_front();
 }
 
-std::uint32_t InFlightHistory::leastSince(TimePoint since) const
+std::uint32_t InFlightHistory::minimumSince(TimePoint since) const
 {
     const auto later = std::ranges::upper_bound(m_leasts, since, {}, &Least::m_since);
     return later == m_leasts.begin() ? 0 : std::prev(later)->m_inFlight;
--- a/src/policy/token_counters.cpp
+++ b/src/policy/token_counters.cpp
@@ -30,7 +30,8 @@
     add(member, tokens - setOff);
 }
 
-void TokenCounters::correct(const MemberId &member, std::uint64_t charged, std::uint64_t actual)
+void TokenCounters::correctCharge(const MemberId &member, std::uint64_t charged,
+                                  std::uint64_t actual)
 {
     if (actual >= charged) {
         charge(member, actual - charged);
@@ -61,7 +62,7 @@
     }
 }
 
-void TokenCounters::lift(const MemberId &member, double service)
+void TokenCounters::raiseService(const MemberId &member, double service)
 {
     Member &entry = m_members[member];
     entry.m_service = std::max(entry.m_service, service);
--- a/src/policy/upstream_measures.cpp
+++ b/src/policy/upstream_measures.cpp
@@ -24,35 +24,35 @@
 
 } // namespace
 
-void UpstreamMeasures::noteFirstToken(Duration taken, TimePoint now)
+void UpstreamMeasurements::recordFirstTokenTime(Duration taken, TimePoint now)
 {
     m_firstTokenSeconds = smoothed(m_firstTokenSeconds, toSeconds(taken));
     m_firstTokenAt = now;
 }
 
-void UpstreamMeasures::noteTokens(std::uint32_t count, Duration passed)
+void UpstreamMeasurements::recordTokenInterval(std::uint32_t count, Duration passed)
 {
     m_betweenTokensSeconds = smoothed(m_betweenTokensSeconds, toSeconds(passed) / count);
 }
 
-void UpstreamMeasures::noteFailure(TimePoint now)
+void UpstreamMeasurements::recordFailure(TimePoint now)
 {
     m_failures = failures(now) + 1.0;
     m_failuresAt = now;
 }
 
-Duration UpstreamMeasures::firstToken(TimePoint now) const
+Duration UpstreamMeasurements::firstToken(TimePoint now) const
 {
     const double left = faded(now - m_firstTokenAt, firstTokenHalfLifeSeconds);
     return fromSeconds(m_firstTokenSeconds * left);
 }
 
-Duration UpstreamMeasures::betweenTokens() const
+Duration UpstreamMeasurements::betweenTokens() const
 {
     return fromSeconds(m_betweenTokensSeconds);
 }
 
-double UpstreamMeasures::failures(TimePoint now) const
+double UpstreamMeasurements::failures(TimePoint now) const
 {
     return m_failures * faded(now - m_failuresAt, failureHalfLifeSeconds);
 }
--- a/tests/src/fuzz-admission.cpp
+++ b/tests/src/fuzz-admission.cpp
@@ -55,7 +55,7 @@
     Stage m_stage = Stage::Waiting;
     MemberId m_member;
     UpstreamId m_upstream;
-    TimePoint m_firstTokenBy{};
+    TimePoint m_firstTokenDeadline{};
 };
 
 /// Three entry VMs of a data centre, four upstreams, and the oracle.
@@ -86,8 +86,8 @@
             withRunning(step, [&](const RequestId &id) {
                 const auto end = static_cast<AttemptEnd>(step.m_number % 4);
                 m_known[id].m_stage = Stage::Over;
-                apply(step.m_node, node.attemptEnded(id, end, m_now));
-                RC_ASSERT(node.attemptEnded(id, end, m_now).empty());
+                apply(step.m_node, node.finishAttempt(id, end, m_now));
+                RC_ASSERT(node.finishAttempt(id, end, m_now).empty());
             });
             break;
         case What::Cancel:
@@ -155,9 +155,9 @@
         request.m_arrivedAt = m_now;
         request.m_promptTokens = step.m_number;
         if (step.m_number % 5 != 0)
-            request.m_firstTokenBy = m_now + std::chrono::milliseconds(step.m_number * 3);
-        m_known[request.m_id] =
-                Known{step.m_node, Stage::Waiting, request.m_member, {}, request.m_firstTokenBy};
+            request.m_firstTokenDeadline = m_now + std::chrono::milliseconds(step.m_number * 3);
+        m_known[request.m_id] = Known{
+                step.m_node, Stage::Waiting, request.m_member, {}, request.m_firstTokenDeadline};
         apply(step.m_node, m_nodes[step.m_node].submit(request, m_now));
         RC_ASSERT(m_known[request.m_id].m_stage == Stage::Waiting
                   || m_nodes[step.m_node].queue().waiting(request.m_member) <= 8U);
@@ -221,7 +221,7 @@
                 continue;
             }
             known.m_upstream = dispatch->m_upstream;
-            RC_ASSERT(known.m_firstTokenBy > m_now);
+            RC_ASSERT(known.m_firstTokenDeadline > m_now);
             for (const UpstreamReport &report : m_reports)
                 RC_ASSERT(report.m_upstream != dispatch->m_upstream || !report.m_isLeaving);
         }
@@ -238,7 +238,7 @@
                     continue;
                 waiting += known.m_stage == Stage::Waiting ? 1U : 0U;
                 // Given up at once: nothing waits whose time is over.
-                RC_ASSERT(known.m_stage != Stage::Waiting || known.m_firstTokenBy > m_now);
+                RC_ASSERT(known.m_stage != Stage::Waiting || known.m_firstTokenDeadline > m_now);
                 if (known.m_stage != Stage::Running)
                     continue;
                 ++inFlight[known.m_upstream];
--- a/tests/src/fuzz-slot-share.cpp
+++ b/tests/src/fuzz-slot-share.cpp
@@ -51,7 +51,7 @@
             changes.emplace_back(atMillis(now), static_cast<std::uint32_t>(inFlight));
             for (int back = 0; back <= 100; ++back) {
                 const TimePoint since = atMillis(now - back);
-                RC_ASSERT(history.leastSince(since) == leastOf(changes, since));
+                RC_ASSERT(history.minimumSince(since) == leastOf(changes, since));
             }
         }
     });
--- a/tests/src/unit-admission-parts.cpp
+++ b/tests/src/unit-admission-parts.cpp
@@ -36,9 +36,9 @@
     CHECK(peers.chargeAt(upstream, slots) == 6);
     CHECK(peers.chargeOf(peer, upstream, slots) == 6);
 
-    CHECK_FALSE(peers.markStale(start + 750ms));
-    CHECK(peers.markStale(start + 751ms));
-    CHECK_FALSE(peers.markStale(start + 752ms));
+    CHECK_FALSE(peers.markStalePeers(start + 750ms));
+    CHECK(peers.markStalePeers(start + 751ms));
+    CHECK_FALSE(peers.markStalePeers(start + 752ms));
     CHECK(peers.chargeAt(upstream, slots) == 8);
 }
 
@@ -51,8 +51,8 @@
     peers.merge(stranger, 1, {{upstream, 6}}, start);
     CHECK(peers.chargeOf(stranger, upstream, slots) == 0);
     CHECK(peers.chargeAt(upstream, slots) == 4);
-    CHECK(peers.isOutdated(peer, 0));
-    CHECK_FALSE(peers.isOutdated(peer, 1));
+    CHECK(peers.isSuperseded(peer, 0));
+    CHECK_FALSE(peers.isSuperseded(peer, 1));
 }
 
 TEST_CASE("nodes take turns at the slots that don't divide evenly")
@@ -88,17 +88,17 @@
 
 TEST_CASE("what was measured at an upstream is smoothed, and slowness and failures fade")
 {
-    UpstreamMeasures measures;
+    UpstreamMeasurements measures;
     CHECK(measures.firstToken(start) == Duration{});
-    measures.noteFirstToken(1s, start);
-    measures.noteFirstToken(2s, start);
+    measures.recordFirstTokenTime(1s, start);
+    measures.recordFirstTokenTime(2s, start);
     CHECK(toSeconds(measures.firstToken(start)) == Approx(1.2));
     CHECK(toSeconds(measures.firstToken(start + 2s)) == Approx(0.6));
 
-    measures.noteTokens(10, 500ms);
+    measures.recordTokenInterval(10, 500ms);
     CHECK(toSeconds(measures.betweenTokens()) == Approx(0.05));
 
-    measures.noteFailure(start);
-    measures.noteFailure(start + 10s);
+    measures.recordFailure(start);
+    measures.recordFailure(start + 10s);
     CHECK(measures.failures(start + 10s) == Approx(1.5));
 }
--- a/tests/src/unit-admission.cpp
+++ b/tests/src/unit-admission.cpp
@@ -95,9 +95,9 @@
     SECTION("an end frees a slot, a doubled end frees no second one")
     {
         const RequestId first("anna" + std::to_string(start.time_since_epoch().count()));
-        const auto more = controller.attemptEnded(first, AttemptEnd::Completed, start + 1s);
+        const auto more = controller.finishAttempt(first, AttemptEnd::Completed, start + 1s);
         CHECK(dispatchesOf(more).size() == 1);
-        CHECK(controller.attemptEnded(first, AttemptEnd::Completed, start + 1s).empty());
+        CHECK(controller.finishAttempt(first, AttemptEnd::Completed, start + 1s).empty());
         CHECK(controller.inFlight() == 2);
     }
     SECTION("tokens are charged as they come and corrected at the end")
@@ -166,10 +166,10 @@
     for (int at = 0; at < 10; ++at) {
         now += 100ms;
         const std::string id = "anna" + std::to_string(start.time_since_epoch().count() + at);
-        controller.attemptEnded(RequestId(id), AttemptEnd::Completed, now);
+        controller.finishAttempt(RequestId(id), AttemptEnd::Completed, now);
     }
     REQUIRE(controller.queue().waiting() == 20);
-    const Duration estimate = controller.waitEstimate(anna, 0, now);
+    const Duration estimate = controller.estimateWait(anna, 0, now);
     CHECK(estimate > 1500ms);
     CHECK(estimate < 2500ms);
     WaitingRequest request = makeRequest("late");
@@ -177,7 +177,7 @@
 
     SECTION("past the target")
     {
-        request.m_firstTokenBy = now + 1s;
+        request.m_firstTokenDeadline = now + 1s;
         const auto refused = refusalsOf(controller.submit(request, now));
         REQUIRE(refused.size() == 1);
         CHECK(refused[0].m_error == ErrorId::DeadlineUnreachable);
@@ -186,14 +186,14 @@
     }
     SECTION("within the target it waits")
     {
-        request.m_firstTokenBy = now + 5s;
+        request.m_firstTokenDeadline = now + 5s;
         CHECK(controller.submit(request, now).empty());
         CHECK(controller.cancel(request.m_id));
     }
     SECTION("another member isn't made to wait for this one's rush")
     {
         request.m_member = bruno;
-        request.m_firstTokenBy = now + 1s;
+        request.m_firstTokenDeadline = now + 1s;
         CHECK(controller.submit(request, now).empty());
     }
 }
@@ -310,8 +310,8 @@
         const std::string id = "r" + std::to_string(at);
         for (const UpstreamId &upstream : dispatchesOf(controller.submit(makeRequest(id), start))) {
             const bool isBad = upstream == UpstreamId("bad");
-            controller.attemptEnded(RequestId(id),
-                                    isBad ? AttemptEnd::Failed : AttemptEnd::Completed, start);
+            controller.finishAttempt(RequestId(id),
+                                     isBad ? AttemptEnd::Failed : AttemptEnd::Completed, start);
         }
     }
     CHECK(controller.isEjected(UpstreamId("bad")));
--- a/tests/src/unit-fair-queue.cpp
+++ b/tests/src/unit-fair-queue.cpp
@@ -80,7 +80,7 @@
     SECTION("an overcharge is set off against the next charges")
     {
         queue.charge(anna, 500);
-        queue.correct(anna, 500, 200);
+        queue.correctCharge(anna, 500, 200);
         queue.charge(anna, 250);
         CHECK(queue.ownCounts().at(anna) == 500);
         queue.charge(anna, 100);
@@ -88,7 +88,7 @@
     }
     SECTION("an undercharge is charged at once")
     {
-        queue.correct(anna, 100, 130);
+        queue.correctCharge(anna, 100, 130);
         CHECK(queue.ownCounts().at(anna) == 30);
     }
     SECTION("the filter passes members over")
@@ -207,7 +207,7 @@
 {
     FairQueue queue(exact());
     WaitingRequest urgent = makeRequest("urgent", anna);
-    urgent.m_firstTokenBy = start + 500ms;
+    urgent.m_firstTokenDeadline = start + 500ms;
 
     SECTION("by the clock")
     {
@@ -268,12 +268,12 @@
     }
     SECTION("room is made by the member that waits with most")
     {
-        CHECK(queue.makeRoomFor(carla)->m_id == RequestId("anna2"));
-        CHECK_FALSE(queue.makeRoomFor(anna));
+        CHECK(queue.evictFor(carla)->m_id == RequestId("anna2"));
+        CHECK_FALSE(queue.evictFor(anna));
     }
     SECTION("all at once")
     {
-        CHECK(queue.takeAll().size() == 4);
+        CHECK(queue.removeAllWaiting().size() == 4);
         CHECK(queue.waiting() == 0);
         CHECK_FALSE(queue.next(start));
     }
--- a/tests/src/unit-job-feeds.cpp
+++ b/tests/src/unit-job-feeds.cpp
@@ -28,9 +28,9 @@
 {
     JobFeeds feeds;
     const auto feed = feeds.subscribe(job);
-    feeds.tell(job, FeedOver{JobState::Finished}, true);
+    feeds.tell(job, FeedEnded{JobState::Finished}, true);
     feeds.tell(job, FeedAccepted{}, false);
-    CHECK(std::holds_alternative<FeedOver>(feed->next().value()));
+    CHECK(std::holds_alternative<FeedEnded>(feed->next().value()));
     CHECK_FALSE(feed->next());
 }
 
--- a/tests/src/unit-retry.cpp
+++ b/tests/src/unit-retry.cpp
@@ -123,11 +123,11 @@
     RetryBudget budget(RetryBudgetSettings{0.1, 3.0, 0.0});
     CHECK_FALSE(budget.tryTake());
     for (int at = 0; at < 11; ++at)
-        budget.firstAttempt();
+        budget.recordFirstAttempt();
     CHECK(budget.tryTake());
     CHECK_FALSE(budget.tryTake());
     for (int at = 0; at < 1000; ++at)
-        budget.firstAttempt();
+        budget.recordFirstAttempt();
     CHECK(budget.available() == 3.0);
 }
 
@@ -138,7 +138,7 @@
     RetryProfile profile;
     CHECK(firstAttemptInfo(profile, std::nullopt).m_attemptsLeft == 2);
     const AttemptInfo below =
-            infoForBelow(AttemptInfo{2, 1, Duration::max()}, start + 900ms, start);
+            downstreamAttemptInfo(AttemptInfo{2, 1, Duration::max()}, start + 900ms, start);
     CHECK(toHeader(below) == "attempt=2;left=0;ms=900");
     const auto read = attemptFromHeader(toHeader(below));
     REQUIRE(read);
@@ -161,43 +161,43 @@
     const auto fail = [&](const UpstreamId &upstream, int times, TimePoint now) {
         for (int at = 0; at < times; ++at) {
             detector.dispatched(upstream, now);
-            detector.failed(upstream, now);
+            detector.onFailure(upstream, now);
         }
     };
 
     SECTION("after failures in a row, and back through one probe")
     {
         fail(bad, 4, start);
-        CHECK(detector.mayUse(bad, start));
+        CHECK(detector.canUse(bad, start));
         fail(bad, 1, start);
-        CHECK_FALSE(detector.mayUse(bad, start + 4999ms));
-        CHECK(detector.mayUse(bad, start + 5s));
+        CHECK_FALSE(detector.canUse(bad, start + 4999ms));
+        CHECK(detector.canUse(bad, start + 5s));
         detector.dispatched(bad, start + 5s);
-        CHECK_FALSE(detector.mayUse(bad, start + 5s));
+        CHECK_FALSE(detector.canUse(bad, start + 5s));
         SECTION("the probe succeeds")
         {
-            detector.succeeded(bad, start + 6s);
-            CHECK(detector.mayUse(bad, start + 6s));
+            detector.onSuccess(bad, start + 6s);
+            CHECK(detector.canUse(bad, start + 6s));
             CHECK_FALSE(detector.isEjected(bad));
         }
         SECTION("the probe fails: twice as long")
         {
-            detector.failed(bad, start + 6s);
-            CHECK_FALSE(detector.mayUse(bad, start + 15s));
-            CHECK(detector.mayUse(bad, start + 16s));
+            detector.onFailure(bad, start + 6s);
+            CHECK_FALSE(detector.canUse(bad, start + 15s));
+            CHECK(detector.canUse(bad, start + 16s));
         }
         SECTION("the probe tells nothing: another may go")
         {
-            detector.abandoned(bad);
-            CHECK(detector.mayUse(bad, start + 6s));
+            detector.onAbandoned(bad);
+            CHECK(detector.canUse(bad, start + 6s));
         }
     }
     SECTION("a success in between clears the count")
     {
         fail(bad, 4, start);
-        detector.succeeded(bad, start);
+        detector.onSuccess(bad, start);
         fail(bad, 4, start);
-        CHECK(detector.mayUse(bad, start));
+        CHECK(detector.canUse(bad, start));
     }
     SECTION("never more than the share")
     {
@@ -207,18 +207,18 @@
         OutlierDetector alone;
         alone.setFleetSize(1);
         for (int at = 0; at < 10; ++at)
-            alone.failed(bad, start);
-        CHECK(alone.mayUse(bad, start));
+            alone.onFailure(bad, start);
+        CHECK(alone.canUse(bad, start));
     }
     SECTION("silence while something runs there")
     {
         detector.dispatched(bad, start);
         detector.heard(bad, start + 5s);
         detector.checkSilence(start + 14s);
-        CHECK(detector.mayUse(bad, start + 14s));
+        CHECK(detector.canUse(bad, start + 14s));
         detector.checkSilence(start + 15s);
-        CHECK_FALSE(detector.mayUse(bad, start + 15s));
+        CHECK_FALSE(detector.canUse(bad, start + 15s));
         detector.forget(bad);
-        CHECK(detector.mayUse(bad, start + 15s));
+        CHECK(detector.canUse(bad, start + 15s));
     }
 }
--- a/tests/src/unit-routing.cpp
+++ b/tests/src/unit-routing.cpp
@@ -62,10 +62,10 @@
         CHECK_FALSE(pick({leaving}));
         CHECK(pick({leaving, busy}) == busy.m_upstream);
 
-        request.m_tried = {UpstreamId("busy")};
+        request.m_triedUpstreams = {UpstreamId("busy")};
         CHECK(pick({busy}) == busy.m_upstream);
         CHECK(pick({busy, makeCandidate("other", 10)}) == UpstreamId("other"));
-        request.m_tried.clear();
+        request.m_triedUpstreams.clear();
 
         const Candidate region = makeCandidate("region", 0, "olten-b");
         const Candidate far = makeCandidate("far", 0, "far");
@@ -73,7 +73,7 @@
         CHECK(pick({far, region, makeCandidate("full", 10)}) == region.m_upstream);
         Candidate slow = makeCandidate("slow");
         slow.m_firstToken = 2s;
-        request.m_firstTokenIn = 500ms;
+        request.m_firstTokenTimeLeft = 500ms;
         CHECK(pick({far, region, slow}) == region.m_upstream);
     }
 }
@@ -135,7 +135,7 @@
     for (int at = 0; at < 20; ++at)
         candidates.push_back(makeCandidate("runner" + std::to_string(at)));
     candidates.push_back(makeCandidate("holder", 1));
-    noteDispatch(policy, holder, request, start);
+    recordDispatch(policy, holder, request, start);
     const auto pick = [&](TimePoint now) {
         return choose(policy, request, candidates, now, random);
     };
@@ -154,27 +154,27 @@
         CHECK(pick(start + 61s) != holder);
         SECTION("restart")
         {
-            forgetUpstream(policy, holder);
+            dropUpstreamState(policy, holder);
         }
         SECTION("eviction of the leading block")
         {
-            noteCacheEvent(policy, CacheEvent{holder, {}, {1}, false}, start + 1s);
+            applyCacheEvent(policy, CacheEvent{holder, {}, {1}, false}, start + 1s);
         }
         SECTION("later blocks push it out")
         {
-            noteDispatch(policy, holder, makeRequest({11, 12, 13, 14, 15, 16}), start + 1s);
+            recordDispatch(policy, holder, makeRequest({11, 12, 13, 14, 15, 16}), start + 1s);
         }
         CHECK(pick(start + 2s) != holder);
     }
     SECTION("a gap in the events halves the life of what is remembered")
     {
-        noteCacheEvent(policy, CacheEvent{holder, {}, {}, true}, start);
+        applyCacheEvent(policy, CacheEvent{holder, {}, {}, true}, start);
         CHECK(pick(start + 29s) == holder);
         CHECK(pick(start + 31s) != holder);
     }
     SECTION("learns from events of others' requests")
     {
-        noteCacheEvent(policy, CacheEvent{UpstreamId("runner5"), blocks, {}, false}, start);
+        applyCacheEvent(policy, CacheEvent{UpstreamId("runner5"), blocks, {}, false}, start);
         CHECK(pick(start + 1s) == UpstreamId("runner5"));
     }
     SECTION("price, reclaim risk and failures count")
