--- a/include/gypsumdale/entry/entry_config_feed.hpp
+++ b/include/gypsumdale/entry/entry_config_feed.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <gypsumdale/entry/config_news.hpp>
+#include <gypsumdale/entry/config_source_selector.hpp>
 #include <gypsumdale/entry/confirmation.hpp>
 #include <gypsumdale/entry/entry_context.hpp>
 #include <gypsumdale/entry/store_role.hpp>
--- a/include/gypsumdale/entry/entry_registry.hpp
+++ b/include/gypsumdale/entry/entry_registry.hpp
@@ -2,7 +2,7 @@
 
 #include <gypsumdale/entry/entry_context.hpp>
 #include <gypsumdale/entry/entry_peers.hpp>
-#include <gypsumdale/entry/registry_silence.hpp>
+#include <gypsumdale/entry/registry_expiry.hpp>
 
 #include <platform/duty_codec.hpp>
 
--- a/include/gypsumdale/entry/entry_store_news.hpp
+++ b/include/gypsumdale/entry/entry_store_relay.hpp
@@ -4,9 +4,9 @@
 #include <gypsumdale/entry/entry_context.hpp>
 #include <gypsumdale/entry/entry_peers.hpp>
 #include <gypsumdale/entry/entry_upstream_feed.hpp>
-#include <gypsumdale/entry/news_pace.hpp>
 #include <gypsumdale/entry/store_role.hpp>
-#include <gypsumdale/serving/upstream_news.hpp>
+#include <gypsumdale/entry/update_pacing.hpp>
+#include <gypsumdale/serving/follower_state.hpp>
 
 #include <map> // map
 #include <optional> // optional
--- a/include/gypsumdale/entry/entry_traffic.hpp
+++ b/include/gypsumdale/entry/entry_traffic.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <gypsumdale/core/clock.hpp>
-#include <gypsumdale/entry/first_knowledge.hpp>
+#include <gypsumdale/entry/startup_knowledge.hpp>
 #include <gypsumdale/entry/upstream_client.hpp>
 #include <gypsumdale/observe/highest_value.hpp>
 #include <gypsumdale/observe/log.hpp>
@@ -9,10 +9,10 @@
 #include <gypsumdale/runtime/http_server.hpp>
 #include <gypsumdale/serving/first_event_forecast.hpp>
 #include <gypsumdale/serving/fleet_quota.hpp>
-#include <gypsumdale/serving/placement_term.hpp>
-#include <gypsumdale/serving/prompt_news.hpp>
-#include <gypsumdale/serving/prompt_reading.hpp>
-#include <gypsumdale/serving/repeat_allowance.hpp>
+#include <gypsumdale/serving/placement_deadline.hpp>
+#include <gypsumdale/serving/prefill_estimator.hpp>
+#include <gypsumdale/serving/prompt_announcer.hpp>
+#include <gypsumdale/serving/retry_budget_share.hpp>
 #include <gypsumdale/serving/serving_view.hpp>
 #include <gypsumdale/serving/steady_wall_clock.hpp>
 #include <gypsumdale/serving/upstream_pool.hpp>
--- a/include/gypsumdale/entry/entry_upstream_feed.hpp
+++ b/include/gypsumdale/entry/entry_upstream_feed.hpp
@@ -2,8 +2,8 @@
 
 #include <gypsumdale/entry/entry_context.hpp>
 #include <gypsumdale/entry/store_role.hpp>
-#include <gypsumdale/entry/upstream_following.hpp>
-#include <gypsumdale/serving/upstream_news.hpp>
+#include <gypsumdale/entry/upstream_list_sync.hpp>
+#include <gypsumdale/serving/follower_state.hpp>
 
 #include <cstdint> // int64_t
 #include <string> // string
--- a/include/gypsumdale/entry/peer_table.hpp
+++ b/include/gypsumdale/entry/peer_table.hpp
@@ -2,7 +2,7 @@
 
 #include <gypsumdale/core/clock.hpp>
 #include <gypsumdale/core/ids.hpp>
-#include <gypsumdale/entry/exchange_pace.hpp>
+#include <gypsumdale/entry/exchange_pacing.hpp>
 #include <gypsumdale/entry/message_age.hpp>
 
 #include <cstddef> // size_t
--- a/include/gypsumdale/entry/upstream_following.hpp
+++ b/include/gypsumdale/entry/upstream_list_sync.hpp
@@ -2,7 +2,7 @@
 
 #include <gypsumdale/entry/confirmation.hpp>
 #include <gypsumdale/entry/store_role.hpp>
-#include <gypsumdale/serving/placement_term.hpp>
+#include <gypsumdale/serving/placement_deadline.hpp>
 #include <gypsumdale/serving/upstream_feed.hpp>
 #include <gypsumdale/settings/entry_settings.hpp>
 
--- a/include/gypsumdale/fleet/config_store.hpp
+++ b/include/gypsumdale/fleet/config_store.hpp
@@ -3,10 +3,10 @@
 #include <gypsumdale/core/clock.hpp>
 #include <gypsumdale/core/ids.hpp>
 #include <gypsumdale/fleet/config_command.hpp>
-#include <gypsumdale/fleet/config_knowledge.hpp>
 #include <gypsumdale/fleet/config_message.hpp>
 #include <gypsumdale/fleet/config_object.hpp>
 #include <gypsumdale/fleet/config_peers.hpp>
+#include <gypsumdale/fleet/config_replica.hpp>
 
 #include <chrono> // milliseconds, seconds
 #include <map> // map
--- a/include/gypsumdale/fleet/upstream_set.hpp
+++ b/include/gypsumdale/fleet/upstream_set.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <gypsumdale/fleet/owner_word.hpp>
+#include <gypsumdale/fleet/observation_schedule.hpp>
 #include <gypsumdale/fleet/probe_duty.hpp>
-#include <gypsumdale/fleet/upstream_watch.hpp>
+#include <gypsumdale/fleet/upstream_state_tracker.hpp>
 
 #include <cstddef> // size_t
 #include <cstdint> // int64_t
--- a/include/gypsumdale/fleet/upstream_table.hpp
+++ b/include/gypsumdale/fleet/upstream_table.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <gypsumdale/fleet/change_log.hpp>
-#include <gypsumdale/fleet/notice_book.hpp>
+#include <gypsumdale/fleet/notice_table.hpp>
 #include <gypsumdale/fleet/upstream_set.hpp>
 
 #include <cstddef> // size_t
--- a/include/gypsumdale/policy/admission_upstreams.hpp
+++ b/include/gypsumdale/policy/admission_upstreams.hpp
@@ -3,7 +3,7 @@
 #include <gypsumdale/policy/admission_settings.hpp>
 #include <gypsumdale/policy/candidate.hpp>
 #include <gypsumdale/policy/peer_slots.hpp>
-#include <gypsumdale/policy/upstream_measures.hpp>
+#include <gypsumdale/policy/upstream_measurements.hpp>
 #include <gypsumdale/policy/upstream_report.hpp>
 
 #include <map> // map
--- a/include/gypsumdale/policy/routing_prefix_affinity.hpp
+++ b/include/gypsumdale/policy/routing_prefix_affinity.hpp
@@ -2,7 +2,7 @@
 
 #include <gypsumdale/policy/cache_event.hpp>
 #include <gypsumdale/policy/candidate.hpp>
-#include <gypsumdale/policy/prefix_memory.hpp>
+#include <gypsumdale/policy/prefix_cache_index.hpp>
 #include <gypsumdale/policy/routing_settings.hpp>
 
 #include <pcg_random.hpp>
--- a/include/gypsumdale/serving/scale_planner.hpp
+++ b/include/gypsumdale/serving/scale_planner.hpp
@@ -2,7 +2,7 @@
 
 #include <gypsumdale/core/clock.hpp>
 #include <gypsumdale/core/ids.hpp>
-#include <gypsumdale/serving/prompt_reading.hpp>
+#include <gypsumdale/serving/prefill_estimator.hpp>
 #include <gypsumdale/serving/serving_config.hpp>
 #include <gypsumdale/serving/upstream_record.hpp>
 #include <gypsumdale/settings/entry_settings.hpp>
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -5,7 +5,7 @@
 #include <gypsumdale/entry/entry_metrics.hpp>
 #include <gypsumdale/entry/entry_peers.hpp>
 #include <gypsumdale/entry/entry_registry.hpp>
-#include <gypsumdale/entry/entry_store_news.hpp>
+#include <gypsumdale/entry/entry_store_relay.hpp>
 #include <gypsumdale/entry/entry_upstream_feed.hpp>
 #include <gypsumdale/runtime/http_server.hpp>
 
--- a/src/entry/entry_store_news.cpp
+++ b/src/entry/entry_store_relay.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/entry/entry_store_news.hpp>
+#include <gypsumdale/entry/entry_store_relay.hpp>
 #include <gypsumdale/fleet/rendezvous.hpp>
 #include <gypsumdale/wire/thrift_codec.hpp>
 
--- a/src/entry/placement_call_term.hpp
+++ b/src/entry/placement_call_deadline.hpp
@@ -2,7 +2,7 @@
 
 #include <gypsumdale/entry/entry_traffic.hpp>
 #include <gypsumdale/runtime/call_term.hpp>
-#include <gypsumdale/serving/placement_term.hpp>
+#include <gypsumdale/serving/placement_deadline.hpp>
 
 #include <algorithm> // min
 #include <optional> // optional
--- a/src/entry/run_mover.hpp
+++ b/src/entry/run_mover.hpp
@@ -4,7 +4,7 @@
 #include <gypsumdale/entry/upstream_client.hpp>
 #include <gypsumdale/observe/log.hpp>
 #include <gypsumdale/runtime/fiber_loop.hpp>
-#include <gypsumdale/serving/repeat_allowance.hpp>
+#include <gypsumdale/serving/retry_budget_share.hpp>
 #include <gypsumdale/serving/upstream_pool.hpp>
 
 #include <entry/stream_run.hpp>
--- a/src/fleet/config_knowledge.cpp
+++ b/src/fleet/config_replica.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/fleet/config_knowledge.hpp>
+#include <gypsumdale/fleet/config_replica.hpp>
 
 #include <xxhash.h>
 
--- a/src/fleet/detail/vm_list_belief.cpp
+++ b/src/fleet/detail/vm_list_filter.cpp
@@ -1,4 +1,4 @@
-#include "fleet/detail/vm_list_belief.hpp"
+#include "fleet/detail/vm_list_filter.hpp"
 
 namespace gypsumdale::detail {
 
--- a/src/fleet/heartbeat_pace.cpp
+++ b/src/fleet/heartbeat_pacing.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/fleet/heartbeat_pace.hpp>
+#include <gypsumdale/fleet/heartbeat_pacing.hpp>
 
 #include <xxhash.h>
 
--- a/src/fleet/node_watch.cpp
+++ b/src/fleet/node_state_tracker.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/fleet/node_watch.hpp>
+#include <gypsumdale/fleet/node_state_tracker.hpp>
 
 #include <fmt/format.h>
 
--- a/src/fleet/notice_book.cpp
+++ b/src/fleet/notice_table.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/fleet/notice_book.hpp>
+#include <gypsumdale/fleet/notice_table.hpp>
 
 #include <xxhash.h>
 
--- a/src/fleet/owner_word.cpp
+++ b/src/fleet/observation_schedule.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/fleet/owner_word.hpp>
+#include <gypsumdale/fleet/observation_schedule.hpp>
 
 #include <algorithm> // max
 #include <cstdlib> // abs
--- a/src/fleet/summary_book.cpp
+++ b/src/fleet/summary_table.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/fleet/summary_book.hpp>
+#include <gypsumdale/fleet/summary_table.hpp>
 
 #include <optional> // optional
 #include <utility> // move
--- a/src/fleet/upstream_watch.cpp
+++ b/src/fleet/upstream_state_tracker.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/fleet/upstream_watch.hpp>
+#include <gypsumdale/fleet/upstream_state_tracker.hpp>
 
 #include <algorithm> // find, max
 #include <utility> // move
--- a/src/fleet/upstream_table.cpp
+++ b/src/fleet/upstream_table.cpp
@@ -1,6 +1,6 @@
 #include <gypsumdale/fleet/upstream_table.hpp>
 
-#include "fleet/detail/vm_list_belief.hpp"
+#include "fleet/detail/vm_list_filter.hpp"
 
 #include <algorithm> // min
 #include <set> // set
--- a/src/policy/prefix_memory.cpp
+++ b/src/policy/prefix_cache_index.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/policy/prefix_memory.hpp>
+#include <gypsumdale/policy/prefix_cache_index.hpp>
 
 namespace gypsumdale {
 
--- a/src/policy/upstream_measures.cpp
+++ b/src/policy/upstream_measurements.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/policy/upstream_measures.hpp>
+#include <gypsumdale/policy/upstream_measurements.hpp>
 
 #include <cmath> // exp2
 
--- a/src/serving/upstream_news.cpp
+++ b/src/serving/follower_state.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/serving/upstream_news.hpp>
+#include <gypsumdale/serving/follower_state.hpp>
 
 namespace gypsumdale {
 
--- a/src/serving/prompt_reading.cpp
+++ b/src/serving/prefill_estimator.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/serving/prompt_reading.hpp>
+#include <gypsumdale/serving/prefill_estimator.hpp>
 
 #include <algorithm> // max, min_element, nth_element
 #include <cstddef> // ptrdiff_t, size_t
--- a/src/serving/repeat_allowance.cpp
+++ b/src/serving/retry_budget_share.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/serving/repeat_allowance.hpp>
+#include <gypsumdale/serving/retry_budget_share.hpp>
 
 #include <algorithm> // max
 
--- a/tests/src/fuzz-entry-restart.cpp
+++ b/tests/src/fuzz-entry-restart.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/entry/exchange_pace.hpp>
+#include <gypsumdale/entry/exchange_pacing.hpp>
 #include <gypsumdale/entry/text_fetch.hpp>
 
 #include <catch2/catch.hpp>
--- a/tests/src/unit-admission-parts.cpp
+++ b/tests/src/unit-admission-parts.cpp
@@ -1,6 +1,6 @@
 #include <gypsumdale/policy/member_slots.hpp>
 #include <gypsumdale/policy/peer_slots.hpp>
-#include <gypsumdale/policy/upstream_measures.hpp>
+#include <gypsumdale/policy/upstream_measurements.hpp>
 
 #include <catch2/catch.hpp>
 
--- a/tests/src/unit-config-news.cpp
+++ b/tests/src/unit-config-news.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/entry/config_news.hpp>
+#include <gypsumdale/entry/config_source_selector.hpp>
 
 #include <catch2/catch.hpp>
 
--- a/tests/src/unit-entry-decisions.cpp
+++ b/tests/src/unit-entry-decisions.cpp
@@ -1,5 +1,5 @@
 #include <gypsumdale/serving/event_splitter.hpp>
-#include <gypsumdale/serving/repeat_allowance.hpp>
+#include <gypsumdale/serving/retry_budget_share.hpp>
 #include <gypsumdale/serving/scale_planner.hpp>
 #include <gypsumdale/serving/steady_wall_clock.hpp>
 #include <gypsumdale/serving/usage_counts.hpp>
--- a/tests/src/unit-entry-news-pace.cpp
+++ b/tests/src/unit-entry-news-pace.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/entry/news_pace.hpp>
+#include <gypsumdale/entry/update_pacing.hpp>
 
 #include <catch2/catch.hpp>
 
--- a/tests/src/unit-entry-peers.cpp
+++ b/tests/src/unit-entry-peers.cpp
@@ -1,8 +1,8 @@
-#include <gypsumdale/entry/first_knowledge.hpp>
 #include <gypsumdale/entry/fleet_size_estimate.hpp>
 #include <gypsumdale/entry/peer_table.hpp>
 #include <gypsumdale/entry/peer_wire.hpp>
-#include <gypsumdale/entry/registry_silence.hpp>
+#include <gypsumdale/entry/registry_expiry.hpp>
+#include <gypsumdale/entry/startup_knowledge.hpp>
 #include <gypsumdale/wire/thrift_codec.hpp>
 
 #include <entry_types.h>
--- a/tests/src/unit-entry-upstream-following.cpp
+++ b/tests/src/unit-entry-upstream-following.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/entry/upstream_following.hpp>
+#include <gypsumdale/entry/upstream_list_sync.hpp>
 
 #include <catch2/catch.hpp>
 
--- a/tests/src/unit-membership-parts.cpp
+++ b/tests/src/unit-membership-parts.cpp
@@ -1,7 +1,7 @@
-#include <gypsumdale/fleet/heartbeat_pace.hpp>
-#include <gypsumdale/fleet/listening_clock.hpp>
-#include <gypsumdale/fleet/node_watch.hpp>
-#include <gypsumdale/fleet/summary_book.hpp>
+#include <gypsumdale/fleet/active_time_clock.hpp>
+#include <gypsumdale/fleet/heartbeat_pacing.hpp>
+#include <gypsumdale/fleet/node_state_tracker.hpp>
+#include <gypsumdale/fleet/summary_table.hpp>
 
 #include <catch2/catch.hpp>
 
--- a/tests/src/unit-placement-term.cpp
+++ b/tests/src/unit-placement-term.cpp
@@ -1,5 +1,5 @@
 #include <gypsumdale/core/clock.hpp>
-#include <gypsumdale/serving/placement_term.hpp>
+#include <gypsumdale/serving/placement_deadline.hpp>
 
 #include <chrono> // milliseconds, seconds
 #include <optional> // optional
--- a/tests/src/unit-prompt-news.cpp
+++ b/tests/src/unit-prompt-news.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/serving/prompt_news.hpp>
+#include <gypsumdale/serving/prompt_announcer.hpp>
 #include <gypsumdale/serving/upstream_pool.hpp>
 
 #include <catch2/catch.hpp>
--- a/tests/src/unit-prompt-reading.cpp
+++ b/tests/src/unit-prompt-reading.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/serving/prompt_reading.hpp>
+#include <gypsumdale/serving/prefill_estimator.hpp>
 
 #include <catch2/catch.hpp>
 
--- a/tests/src/unit-upstream-feed.cpp
+++ b/tests/src/unit-upstream-feed.cpp
@@ -1,5 +1,5 @@
+#include <gypsumdale/serving/follower_state.hpp>
 #include <gypsumdale/serving/upstream_feed.hpp>
-#include <gypsumdale/serving/upstream_news.hpp>
 
 #include <catch2/catch.hpp>
 
--- a/tests/src/unit-upstream-parts.cpp
+++ b/tests/src/unit-upstream-parts.cpp
@@ -1,8 +1,8 @@
-#include <gypsumdale/fleet/notice_book.hpp>
-#include <gypsumdale/fleet/owner_word.hpp>
+#include <gypsumdale/fleet/notice_table.hpp>
+#include <gypsumdale/fleet/observation_schedule.hpp>
 #include <gypsumdale/fleet/probe_duty.hpp>
 #include <gypsumdale/fleet/route_scope.hpp>
-#include <gypsumdale/fleet/upstream_watch.hpp>
+#include <gypsumdale/fleet/upstream_state_tracker.hpp>
 
 #include <catch2/catch.hpp>
 
--- a/tests/support/news_vm.hpp
+++ b/tests/support/news_vm.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 #include <gypsumdale/entry/message_age.hpp>
-#include <gypsumdale/entry/news_pace.hpp>
-#include <gypsumdale/entry/upstream_following.hpp>
+#include <gypsumdale/entry/update_pacing.hpp>
+#include <gypsumdale/entry/upstream_list_sync.hpp>
 #include <gypsumdale/policy/circuit_breaker.hpp>
-#include <gypsumdale/serving/upstream_news.hpp>
+#include <gypsumdale/serving/follower_state.hpp>
 
 #include <cstddef> // size_t
 #include <cstdint> // int64_t
--- a/tests/support/request_way_world.hpp
+++ b/tests/support/request_way_world.hpp
@@ -4,7 +4,7 @@
 #include "support/request_way.hpp"
 #include "support/upstream_news_world.hpp"
 
-#include <gypsumdale/serving/placement_term.hpp>
+#include <gypsumdale/serving/placement_deadline.hpp>
 #include <gypsumdale/serving/upstream_pool.hpp>
 
 #include <algorithm> // max, min_element
