--- a/src/entry/entry_call.hpp
+++ b/src/entry/entry_call.hpp
@@ -3,9 +3,9 @@
 #include <gypsumdale/entry/entry_traffic.hpp>
 #include <gypsumdale/serving/event_splitter.hpp>
 
-#include <entry/placement_call_term.hpp>
+#include <entry/in_flight_guard.hpp>
+#include <entry/placement_call_deadline.hpp>
 #include <entry/stream_run.hpp>
-#include <entry/upstream_hold.hpp>
 #include <platform/request_codec.hpp>
 
 #include <memory> // shared_ptr
--- a/src/entry/in_flight_guard.cpp
+++ b/src/entry/in_flight_guard.cpp
@@ -1,4 +1,4 @@
-#include <entry/upstream_hold.hpp>
+#include <entry/in_flight_guard.hpp>
 
 #include <utility> // exchange, move
 
