--- a/include/gypsumdale/entry/entry_registry.hpp
+++ b/include/gypsumdale/entry/entry_registry.hpp
@@ -2,7 +2,7 @@
 
 #include <gypsumdale/entry/entry_context.hpp>
 #include <gypsumdale/entry/entry_peers.hpp>
-#include <gypsumdale/entry/registry_silence.hpp>
+#include <gypsumdale/entry/registry_expiry.hpp>
 
 #include <platform/duty_codec.hpp>
 
@@ -29,7 +29,7 @@
 
     EntryContext &m_context;
     EntryPeers &m_peers;
-    RegistrySilence m_silence;
+    RegistryExpiry m_silence;
 };
 
 } // namespace gypsumdale
--- a/src/entry/entry_call.cpp
+++ b/src/entry/entry_call.cpp
@@ -54,7 +54,7 @@
     // What is rejected for want of room is not taken from the account's quota.
     if (!hasRoomInTime() || !admitByQuota())
         return;
-    const EntryTraffic::CallUnderWay underWay = m_traffic.noteUnderWay(*this);
+    const EntryTraffic::CallRegistration underWay = m_traffic.registerCall(*this);
     m_responder.onCallerGone([this] {
         m_isCallerGone = true;
         m_cancellation->cancel();
@@ -63,7 +63,7 @@
     m_responder.onCallerGone(nullptr);
 }
 
-void EntryCall::endForStop()
+void EntryCall::cancelForShutdown()
 {
     m_isStopping = true;
     m_cancellation->cancel();
@@ -77,7 +77,7 @@
 void EntryCall::serve()
 {
     m_traffic.allowance().noteRequest(m_service, m_traffic.now());
-    if (m_route->m_kind == RepeatKind::Stream)
+    if (m_route->m_kind == RouteRepeatSafety::Stream)
         serveStream();
     else
         serveWhole();
@@ -96,7 +96,7 @@
     }
     if (isFirst)
         return std::nullopt;
-    if (m_mayHaveRun > 0 && !m_route->mayRepeat())
+    if (m_mayHaveRun > 0 && !m_route->isRetryable())
         return AttemptStop::NotAllowed;
     if (m_mayHaveRun >= m_route->m_maxAttempts || m_connectFailures >= mostConnectFailures)
         return AttemptStop::NotAllowed;
@@ -110,7 +110,7 @@
     forwarding.m_upstream = upstream.m_record.m_id;
     if (m_account)
         forwarding.m_account = m_account->m_id;
-    if (m_route->m_kind == RepeatKind::Stream)
+    if (m_route->m_kind == RouteRepeatSafety::Stream)
         forwarding.m_priority = priority();
     forwarding.m_resumeAfter = m_lastEventId;
     forwarding.m_memory = m_memory;
@@ -136,7 +136,7 @@
 Duration EntryCall::firstAnswerLimit() const
 {
     const Duration left = timeLeft();
-    const bool canRepeat = m_route->mayRepeat() && m_mayHaveRun + 1 < m_route->m_maxAttempts;
+    const bool canRepeat = m_route->isRetryable() && m_mayHaveRun + 1 < m_route->m_maxAttempts;
     if (!canRepeat)
         return left;
     return std::min(left, patienceInTargets * m_route->m_latencyTarget);
@@ -149,14 +149,14 @@
         const bool isFirst = m_arrivals == 0 && m_connectFailures == 0;
         if (const auto stop = whyNoFurtherAttempt(isFirst))
             return *stop;
-        const std::optional<TimePoint> until = m_traffic.placementUntil();
+        const std::optional<TimePoint> until = m_traffic.placementDeadline();
         if (!until) {
             m_traffic.metrics().add(Counter::ListTooOld);
             return AttemptStop::ListTooOld;
         }
         PlacementRequest request = placement();
         request.m_draw = m_traffic.draw();
-        request.m_isTold = m_traffic.isTold(m_service, ownTokens());
+        request.m_isAnnounced = m_traffic.shouldAnnounce(m_service, ownTokens());
         const PooledUpstreamPointer upstream = m_traffic.pool().choose(request, m_traffic.now());
         if (!upstream)
             return AttemptStop::NoUpstream;
@@ -165,14 +165,14 @@
         m_tried.insert(upstream->m_record.m_id);
         logPlaced(*upstream, *until);
         const bool isAlone = readsAlone(*upstream);
-        UpstreamHold hold(upstream, m_caller.m_promptTokens);
+        InFlightGuard hold(upstream, m_caller.m_promptTokens);
         const TimePoint sentAt = m_traffic.now();
-        m_traffic.notePlaced(*upstream, ownTokens(), request.m_isTold);
-        m_traffic.forecaster().notePlaced(m_service, priority(), m_caller.m_promptTokens,
-                                          ownTokens(), sentAt);
+        m_traffic.recordPlacement(*upstream, ownTokens(), request.m_isAnnounced);
+        m_traffic.forecaster().recordPlacement(m_service, priority(), m_caller.m_promptTokens,
+                                               ownTokens(), sentAt);
         CallResult<HttpExchange> opened =
-                send(hold,
-                     std::make_shared<PlacementCallTerm>(m_traffic, *until, TermRenewal::WithList));
+                send(hold, std::make_shared<PlacementCallDeadline>(
+                                   m_traffic, *until, DeadlineRenewal::OnConfirmation));
         if (const auto *failure = std::get_if<CallFailure>(&opened)) {
             noteFailure(hold, *failure);
             continue;
@@ -197,8 +197,8 @@
 /// have started again after that: a connection to the process before may stay silent for good where
 /// it was cut off as it crashed, and its caller would wait in vain until the deadline. It ends as
 /// well where the request has not arrived within the term of its placement.
-CallResult<HttpExchange> EntryCall::send(UpstreamHold &hold,
-                                         const std::shared_ptr<PlacementCallTerm> &term)
+CallResult<HttpExchange> EntryCall::send(InFlightGuard &hold,
+                                         const std::shared_ptr<PlacementCallDeadline> &term)
 {
     m_cancellation = std::make_shared<CallCancellation>();
     if (m_isCallerGone || m_isStopping)
@@ -225,7 +225,7 @@
     placement.m_sharedTokens = m_caller.m_sharedTokens;
     const Duration pause = m_view->shortestPause(m_service);
     placement.m_readingSpeed = m_traffic.tokensWithin(m_service, std::chrono::seconds(1));
-    placement.m_pauseTokens = pauseUsed * m_traffic.tokensWithin(m_service, pause);
+    placement.m_maxPauseTokens = pauseUsed * m_traffic.tokensWithin(m_service, pause);
     if (m_route->m_hasPrefixAffinity)
         placement.m_affinityKey = m_caller.m_lastSharedPart;
     placement.m_excluded = m_tried;
@@ -238,7 +238,7 @@
     const platform::AnswerTraits traits =
             platform::decodeAnswer(exchange.status(), exchange.headers(), m_caller.m_id);
     if (traits.m_isNotRun && traits.m_isToThisRequest) {
-        UpstreamPool::note(upstream, AttemptVerdict::Refused, m_traffic.now());
+        UpstreamPool::note(upstream, AttemptResult::Refused, m_traffic.now());
         m_traffic.log().info(
                 "attempt-refused",
                 {m_caller.m_id, upstream.m_record.m_id, {LogField::Status, exchange.status()}});
@@ -248,7 +248,7 @@
     const bool isUnsignedSuccess = exchange.status() / 100 == 2 && !traits.m_isSigned;
     if (traits.m_isToThisRequest && !isUnsignedSuccess)
         return true;
-    UpstreamPool::note(upstream, AttemptVerdict::Broken, m_traffic.now());
+    UpstreamPool::note(upstream, AttemptResult::Broken, m_traffic.now());
     m_traffic.log().warning(
             "answer-not-ours",
             {m_caller.m_id, upstream.m_record.m_id, {LogField::Status, exchange.status()}});
@@ -286,13 +286,13 @@
     return isUnsent;
 }
 
-void EntryCall::noteFailure(UpstreamHold &hold, const CallFailure &failure)
+void EntryCall::noteFailure(InFlightGuard &hold, const CallFailure &failure)
 {
     if (failure.m_error.m_id == ErrorId::Cancelled && m_isCallerGone)
         return;
     const bool isUnsentInTerm = noteTermOver(hold.upstream(), failure);
     if (!isGivenUpHere(failure) && !isUnsentInTerm)
-        UpstreamPool::note(hold.upstream(), AttemptVerdict::Broken, m_traffic.now());
+        UpstreamPool::note(hold.upstream(), AttemptResult::Broken, m_traffic.now());
     if (failure.m_phase == SendPhase::NothingSent) {
         ++m_connectFailures;
     } else {
@@ -350,9 +350,9 @@
         auto &reply = std::get<HttpReply>(reading);
         const bool isServerError = reply.m_status >= 500;
         UpstreamPool::note(answer.m_hold.upstream(),
-                           isServerError ? AttemptVerdict::ServerError : AttemptVerdict::Good,
+                           isServerError ? AttemptResult::ServerError : AttemptResult::Good,
                            m_traffic.now());
-        if (!isServerError || !m_route->mayRepeat()) {
+        if (!isServerError || !m_route->isRetryable()) {
             passOn(reply);
             return;
         }
--- a/src/entry/entry_call_stream.cpp
+++ b/src/entry/entry_call_stream.cpp
@@ -41,12 +41,12 @@
         if (answer.m_exchange.status() / 100 != 2) {
             Reading reading = readWhole(answer);
             const auto *reply = std::get_if<HttpReply>(&reading);
-            UpstreamPool::note(answer.m_hold.upstream(), AttemptVerdict::ServerError,
+            UpstreamPool::note(answer.m_hold.upstream(), AttemptResult::ServerError,
                                m_traffic.now());
             noteRan();
             if (reply && !m_hasBegun)
                 m_fallback = *reply;
-            if (!m_route->mayRepeat() || (reply && reply->m_status < 500)) {
+            if (!m_route->isRetryable() || (reply && reply->m_status < 500)) {
                 conclude(AttemptStop::NotAllowed);
                 return;
             }
@@ -58,7 +58,7 @@
             conclude(AttemptStop::CallerGone);
             return;
         }
-        if (!m_route->mayRepeat()) {
+        if (!m_route->isRetryable()) {
             conclude(AttemptStop::NotAllowed);
             return;
         }
@@ -69,15 +69,15 @@
 /// Tells whether a stream is cut into events, as it may have to go on after one of them.
 bool EntryCall::cutsEvents() const
 {
-    if (m_route->mayRepeat())
+    if (m_route->isRetryable())
         return true;
     const ServingService *service = m_view->findService(m_service);
-    return service && service->m_engine && service->m_engine->m_movesRuns;
+    return service && service->m_engine && service->m_engine->m_canMoveRuns;
 }
 
 bool EntryCall::passStream(OpenAnswer &answer)
 {
-    if (m_route->mayRepeat() || !cutsEvents())
+    if (m_route->isRetryable() || !cutsEvents())
         return passRun(answer);
     std::optional<OpenAnswer> moved;
     OpenAnswer *current = &answer;
@@ -100,15 +100,15 @@
 }
 
 /// Returns the term of a run that goes on at an upstream, or nothing where none is left or known.
-std::shared_ptr<PlacementCallTerm> EntryCall::termAt(const PooledUpstream &upstream) const
+std::shared_ptr<PlacementCallDeadline> EntryCall::termAt(const PooledUpstream &upstream) const
 {
     const bool isLeaving = upstream.m_isGone || upstream.m_record.m_isDraining;
     const std::optional<TimePoint> until =
-            isLeaving ? m_traffic.untilWhileLeaving(upstream) : m_traffic.placementUntil();
+            isLeaving ? m_traffic.deadlineWhileLeaving(upstream) : m_traffic.placementDeadline();
     if (!until)
         return nullptr;
-    return std::make_shared<PlacementCallTerm>(
-            m_traffic, *until, isLeaving ? TermRenewal::None : TermRenewal::WithList);
+    return std::make_shared<PlacementCallDeadline>(
+            m_traffic, *until, isLeaving ? DeadlineRenewal::None : DeadlineRenewal::OnConfirmation);
 }
 
 std::optional<OpenAnswer> EntryCall::followMove()
@@ -125,7 +125,7 @@
     // The memory went with the process that held it.
     if (moved.m_upstream->m_isReplaced)
         return std::nullopt;
-    const std::shared_ptr<PlacementCallTerm> term = termAt(*moved.m_upstream);
+    const std::shared_ptr<PlacementCallDeadline> term = termAt(*moved.m_upstream);
     if (!term) {
         m_traffic.log().warning("moved-run-too-late",
                                 {m_caller.m_id,
@@ -135,7 +135,7 @@
     }
     m_memory = moved.m_memory;
     logPlaced(*moved.m_upstream, term->until());
-    UpstreamHold hold(moved.m_upstream, 0);
+    InFlightGuard hold(moved.m_upstream, 0);
     CallResult<HttpExchange> opened = send(hold, term);
     m_memory.reset();
     if (const auto *failure = std::get_if<CallFailure>(&opened)) {
@@ -159,9 +159,9 @@
 {
     for (;;) {
         const Duration silence =
-                m_route->mayRepeat() ? std::max(streamSilence, m_events == 0 ? firstAnswerLimit()
-                                                                             : Duration::zero())
-                                     : Duration::max();
+                m_route->isRetryable() ? std::max(streamSilence, m_events == 0 ? firstAnswerLimit()
+                                                                               : Duration::zero())
+                                       : Duration::max();
         const Duration limit = std::clamp(timeLeft(), Duration::zero(), silence);
         auto piece = answer.m_exchange.read(limit);
         if (auto *failure = std::get_if<CallFailure>(&piece)) {
@@ -178,7 +178,7 @@
     }
     if (m_splitter.hasPartial())
         return false;
-    UpstreamPool::note(answer.m_hold.upstream(), AttemptVerdict::Good, m_traffic.now());
+    UpstreamPool::note(answer.m_hold.upstream(), AttemptResult::Good, m_traffic.now());
     if (!m_hasBegun && !beginStream(answer))
         return false;
     if (!m_responder.finish()) {
@@ -194,9 +194,9 @@
 /// The first piece of an answer tells that the prompt has been read.
 void EntryCall::noteFirstEvent(OpenAnswer &answer)
 {
-    answer.m_hold.promptIsRead();
+    answer.m_hold.onPromptRead();
     if (const auto since = std::exchange(answer.m_aloneSince, std::nullopt))
-        m_traffic.reading().own(m_service).noteAlone(ownTokens(), m_traffic.now() - *since);
+        m_traffic.reading().own(m_service).recordUncontended(ownTokens(), m_traffic.now() - *since);
 }
 
 bool EntryCall::passPiece(const std::string &piece, OpenAnswer &answer)
--- a/src/entry/entry_store_news.cpp
+++ b/src/entry/entry_store_relay.cpp
@@ -1,4 +1,4 @@
-#include <gypsumdale/entry/entry_store_news.hpp>
+#include <gypsumdale/entry/entry_store_relay.hpp>
 #include <gypsumdale/fleet/rendezvous.hpp>
 #include <gypsumdale/wire/thrift_codec.hpp>
 
@@ -27,14 +27,14 @@
 /// would hold up the slowest link of a VM for longer than followers wait.
 constexpr std::size_t largestConfigSent = std::size_t{32} * 1024;
 
-entrywire::StoreNews wireNews(const UpstreamNews &upstreams)
+entrywire::StoreNews wireNews(const UpstreamListUpdate &upstreams)
 {
     entrywire::StoreNews news;
     news.newestChange = upstreams.m_newestChange;
     news.sinceRevision = upstreams.m_sinceRevision.value_or(wholeList);
     news.upstreamRevision = upstreams.m_revision;
     news.storeReturnedAgoMillis =
-            upstreams.m_returnedAgo ? wholeMillis(*upstreams.m_returnedAgo) : neverAway;
+            upstreams.m_storeReturnedAgo ? wholeMillis(*upstreams.m_storeReturnedAgo) : neverAway;
     std::map<UpstreamId, UpstreamRecord> present;
     for (const UpstreamChange &change : upstreams.m_changes) {
         const UpstreamId &id = change.m_record.m_id;
@@ -51,7 +51,7 @@
 }
 
 void addAbsent(const std::vector<std::string> &ids, UpstreamChangeKind kind,
-               UpstreamNews &upstreams)
+               UpstreamListUpdate &upstreams)
 {
     for (const std::string &id : ids) {
         UpstreamChange &change = upstreams.m_changes.emplace_back();
@@ -60,15 +60,15 @@
     }
 }
 
-UpstreamNews upstreamNews(const entrywire::StoreNews &news)
+UpstreamListUpdate upstreamNews(const entrywire::StoreNews &news)
 {
-    UpstreamNews upstreams;
+    UpstreamListUpdate upstreams;
     upstreams.m_newestChange = news.newestChange;
     upstreams.m_revision = news.upstreamRevision;
     if (news.sinceRevision != wholeList)
         upstreams.m_sinceRevision = news.sinceRevision;
     if (news.storeReturnedAgoMillis != neverAway)
-        upstreams.m_returnedAgo = std::chrono::milliseconds(news.storeReturnedAgoMillis);
+        upstreams.m_storeReturnedAgo = std::chrono::milliseconds(news.storeReturnedAgoMillis);
     if (!news.upstreamText.empty()) {
         for (const auto &[id, record] : platform::decodeUpstreamText(news.upstreamText))
             upstreams.m_changes.push_back({record, UpstreamChangeKind::Present});
@@ -80,29 +80,30 @@
 
 } // namespace
 
-EntryStoreNews::EntryStoreNews(EntryContext &context, EntryConfigFeed &config,
-                               EntryUpstreamFeed &upstreams, EntryPeers &peers)
+EntryStoreRelay::EntryStoreRelay(EntryContext &context, EntryConfigFeed &config,
+                                 EntryUpstreamFeed &upstreams, EntryPeers &peers)
     : m_context(context)
     , m_config(config)
     , m_upstreams(upstreams)
     , m_peers(peers)
 {
-    m_peers.onNews([this](const entrywire::StoreNews &news, std::optional<TimePoint> sentAfter) {
-        return take(news, sentAfter);
-    });
+    m_peers.onStoreUpdate(
+            [this](const entrywire::StoreNews &news, std::optional<TimePoint> sentAfter) {
+                return take(news, sentAfter);
+            });
 }
 
-void EntryStoreNews::run()
+void EntryStoreRelay::run()
 {
     while (!m_context.m_isStopping) {
         chooseRole();
         if (m_role == StoreRole::Reader && m_pace.isDue(newsState(), m_context.now()))
             tellAll();
-        sleepFiber(NewsPace::tick);
+        sleepFiber(UpdatePacing::tick);
     }
 }
 
-void EntryStoreNews::chooseRole()
+void EntryStoreRelay::chooseRole()
 {
     StoreRole role = StoreRole::Alone;
     if (m_peers.isLargeFleet()) {
@@ -110,8 +111,8 @@
         std::vector<NodeId> candidates;
         if (!m_config.isStoreLost())
             candidates.push_back(self);
-        for (const NearPeer &peer : m_peers.nearPeers()) {
-            if (peer.m_mayRead)
+        for (const DataCentrePeer &peer : m_peers.dataCentrePeers()) {
+            if (peer.m_canReadStore)
                 candidates.push_back(peer.m_node);
         }
         const bool isChosen = isRendezvousChoice(readersKey, candidates, readers, self);
@@ -126,27 +127,27 @@
     m_context.m_log.info("store-role", {{LogField::Kind, nameIn(storeRoleNames, role)},
                                         {LogField::ConfigVersion, m_config.version()},
                                         {LogField::Revision, m_upstreams.revision()},
-                                        {LogField::Count, m_peers.nearPeers().size()}});
+                                        {LogField::Count, m_peers.dataCentrePeers().size()}});
 }
 
-NewsState EntryStoreNews::newsState() const
+UpdateState EntryStoreRelay::newsState() const
 {
     return {m_upstreams.newestChange(), m_config.version(), m_upstreams.readAt()};
 }
 
-void EntryStoreNews::tellAll()
+void EntryStoreRelay::tellAll()
 {
     if (!m_upstreams.isKnown())
         return;
-    m_pace.noteTold(newsState(), m_context.now());
-    for (const NearPeer &peer : m_peers.nearPeers()) {
+    m_pace.recordSent(newsState(), m_context.now());
+    for (const DataCentrePeer &peer : m_peers.dataCentrePeers()) {
         if (m_followers[peer.m_peer->m_address].isDue(m_context.now()))
             m_context.m_loop.spawn([this, peer] { tell(peer); });
     }
 }
 
 /// Tells one follower what it lacks.
-void EntryStoreNews::tell(const NearPeer &peer)
+void EntryStoreRelay::tell(const DataCentrePeer &peer)
 {
     m_followers[peer.m_peer->m_address].m_isBusy = true;
     if (tellPart(peer, ConfigPart::Version).needsConfig)
@@ -155,9 +156,10 @@
 }
 
 /// Returns what the follower still needs; nothing if it didn't answer.
-entrywire::StoreNewsTaken EntryStoreNews::tellPart(const NearPeer &peer, ConfigPart part)
+entrywire::StoreNewsTaken EntryStoreRelay::tellPart(const DataCentrePeer &peer, ConfigPart part)
 {
-    const UpstreamNews upstreams = m_upstreams.newsFor(m_followers[peer.m_peer->m_address].m_state);
+    const UpstreamListUpdate upstreams =
+            m_upstreams.updateFor(m_followers[peer.m_peer->m_address].m_state);
     entrywire::EntryExchange message;
     message.__set_news(wireNews(upstreams));
     message.news.node = m_context.m_settings.m_node.text();
@@ -167,40 +169,40 @@
     message.news.configIsSent = m_config.text().size() <= largestConfigSent;
     if (part == ConfigPart::Whole)
         message.news.__set_configText(m_config.text());
-    const auto answer = m_peers.ask(peer.m_peer, message, NewsPace::receiptTimeout);
-    ReceiptPause &pause = m_followers[peer.m_peer->m_address].m_pause;
+    const auto answer = m_peers.ask(peer.m_peer, message, UpdatePacing::receiptTimeout);
+    ReceiptBackoff &pause = m_followers[peer.m_peer->m_address].m_pause;
     if (!succeeded(answer)) {
         pause.onMissed(m_context.now());
         return {};
     }
-    pause.onTaken();
+    pause.onApplied();
     FollowerState &state = m_followers[peer.m_peer->m_address].m_state;
     if (!valueOf(answer).__isset.newsTaken) {
-        state.onLacking();
+        state.onMissingChanges();
         return {};
     }
     const entrywire::StoreNewsTaken &taken = valueOf(answer).newsTaken;
     if (taken.needsWholeList)
-        state.onLacking();
+        state.onMissingChanges();
     else
-        state.onTaken(upstreams);
+        state.onApplied(upstreams);
     return taken;
 }
 
 /// Takes what a reader tells. Returns what this VM lacks beyond that.
-entrywire::StoreNewsTaken EntryStoreNews::take(const entrywire::StoreNews &news,
-                                               std::optional<TimePoint> sentAfter)
+entrywire::StoreNewsTaken EntryStoreRelay::take(const entrywire::StoreNews &news,
+                                                std::optional<TimePoint> sentAfter)
 {
     if (news.__isset.configText)
-        m_config.takeFromPeer(news.configText, news.node);
+        m_config.applyFromPeer(news.configText, news.node);
     const Duration configAge = std::chrono::milliseconds(news.configAgeMillis);
     const Duration upstreamAge = std::chrono::milliseconds(news.upstreamAgeMillis);
     entrywire::StoreNewsTaken taken;
     const bool isWanted =
-            m_config.takeNews(news.configVersion, {configAge, sentAfter}, news.configIsSent);
+            m_config.receiveUpdate(news.configVersion, {configAge, sentAfter}, news.configIsSent);
     taken.needsConfig = isWanted && !m_config.isFetching();
     taken.needsWholeList =
-            !m_upstreams.takeNews(upstreamNews(news), {upstreamAge, sentAfter}, news.node);
+            !m_upstreams.receiveUpdate(upstreamNews(news), {upstreamAge, sentAfter}, news.node);
     return taken;
 }
 
--- a/src/entry/run_mover.hpp
+++ b/src/entry/run_mover.hpp
@@ -4,7 +4,7 @@
 #include <gypsumdale/entry/upstream_client.hpp>
 #include <gypsumdale/observe/log.hpp>
 #include <gypsumdale/runtime/fiber_loop.hpp>
-#include <gypsumdale/serving/repeat_allowance.hpp>
+#include <gypsumdale/serving/retry_budget_share.hpp>
 #include <gypsumdale/serving/upstream_pool.hpp>
 
 #include <entry/stream_run.hpp>
@@ -24,7 +24,7 @@
 {
 public:
     RunMover(FiberLoop &loop, UpstreamClient &client, UpstreamPool &pool,
-             RepeatAllowance &allowance, Logger &log, const DataCentreId &dataCentre,
+             RetryBudgetShare &allowance, Logger &log, const DataCentreId &dataCentre,
              const Clock &clock);
 
     void add(const std::shared_ptr<StreamRun> &run) { m_runs.insert(run); }
@@ -32,7 +32,7 @@
 
     /// Takes note of the upstreams' states; schedules moves from those that began to leave. Linear
     /// in the runs.
-    void look();
+    void scheduleMoves();
 
 private:
     void moveRunsOf(const PooledUpstreamPointer &source);
@@ -41,7 +41,7 @@
     FiberLoop &m_loop;
     UpstreamClient &m_client;
     UpstreamPool &m_pool;
-    RepeatAllowance &m_allowance;
+    RetryBudgetShare &m_allowance;
     Logger &m_log;
     const DataCentreId &m_dataCentre;
     const Clock &m_clock;
--- a/src/kernel/control.cpp
+++ b/src/kernel/control.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-Control::Control(ControlContext context, RunAttempt runAttempt)
+Control::Control(ControlContext context, AttemptCallbacks runAttempt)
     : m_context(context)
     , m_fleet(m_context)
     , m_config(m_context, [this](const NodeId &node) { return m_fleet.find(node); })
@@ -82,7 +82,7 @@
         if (change.m_state == UpstreamState::Leaving || change.m_state == UpstreamState::Gone)
             m_jobs.onUpstreamLeaving(change.m_upstream);
     };
-    listeners.m_configSeen = [this](const ConfigDigestSeen &seen) {
+    listeners.m_configSeen = [this](const ConfigDigestReceived &seen) {
         ConfigDigestFrom digest;
         digest.m_node = seen.m_node;
         digest.m_dataCentre = seen.m_dataCentre;
@@ -105,7 +105,7 @@
 {
     std::vector<NodeId> nodes{m_context.m_settings.m_node};
     for (const NodeIdentity &node :
-         m_fleet.membership().openNodes(m_context.m_settings.m_dataCentre))
+         m_fleet.membership().availableNodes(m_context.m_settings.m_dataCentre))
         nodes.push_back(node.m_node);
     std::ranges::sort(nodes);
     return nodes;
@@ -120,7 +120,7 @@
         m_jobs.onNodeDead(change);
 }
 
-Result<RequestContext> Control::resolve(const CallerClaim &claim, RequestId id)
+Result<RequestContext> Control::resolve(const CallerHeaders &claim, RequestId id)
 {
     const SettingsView &view = m_config.view();
     const Result<MemberId> memberId = view.accounts().authenticate(claim.m_credential);
@@ -152,7 +152,7 @@
     return context;
 }
 
-std::optional<Error> Control::notReady() const
+std::optional<Error> Control::unreadyReason() const
 {
     if (!m_drain.isAccepting())
         return Error{ErrorId::Draining, "this process is shutting down"};
@@ -223,8 +223,8 @@
     return result;
 }
 
-std::optional<ConfigVersion> Control::askVersion(const NodeIdentity &peer, const ConfigKey &key,
-                                                 Duration timeout)
+std::optional<ConfigVersion> Control::queryVersion(const NodeIdentity &peer, const ConfigKey &key,
+                                                   Duration timeout)
 {
     wire::VersionAsk ask;
     ask.name = platformName(key);
@@ -295,7 +295,7 @@
     }
     const bool isZone = notice.m_cause == LeavingCause::ZoneReclaim;
     // Jobs move at once: the notice may be shorter than it says.
-    m_jobs.onNotice(isZone ? NoticeScope::OwnDataCentre : NoticeScope::OwnVm);
+    m_jobs.onReclaimNotice(isZone ? ReclaimScope::OwnDataCentre : ReclaimScope::OwnVm);
     shutDown(isZone ? DrainCause::ZoneReclaim : DrainCause::VmReclaim, deadline);
 }
 
@@ -319,7 +319,7 @@
         m_fleet.exchange().setConfigDigest(wire::toWire(m_config.store().digest().m_digest));
         if (m_drain.phase() != DrainPhase::Serving) {
             const bool hasCallers = m_hooks.m_hasCallers && m_hooks.m_hasCallers();
-            m_drain.setUnfinished({requestsInFlight(), m_jobs.unfinished(), hasCallers});
+            m_drain.setUnfinished({requestsInFlight(), m_jobs.unfinishedJobs(), hasCallers});
             run(m_drain.tick(m_context.now()));
         }
         sleepFiber(drainTick);
@@ -339,9 +339,9 @@
     metrics.set(Gauge::RequestsInFlight, static_cast<std::int64_t>(requestsInFlight()));
     metrics.assign(Counter::LogLinesSuppressed, m_context.m_log.suppressedLines());
     metrics.assign(Counter::LogLinesLost, m_context.m_log.lostLines());
-    metrics.set(Gauge::Ready, notReady() ? 0 : 1);
+    metrics.set(Gauge::Ready, unreadyReason() ? 0 : 1);
     metrics.set(Gauge::Draining, m_drain.phase() == DrainPhase::Serving ? 0 : 1);
-    metrics.set(Gauge::PlatformUp, m_context.m_platform.isUp() ? 1 : 0);
+    metrics.set(Gauge::PlatformUp, m_context.m_platform.isReachable() ? 1 : 0);
     metrics.set(Gauge::RequestsWaiting, static_cast<std::int64_t>(m_admission.waiting()));
     metrics.set(Gauge::PeersLive, static_cast<std::int64_t>(liveLocalNodes().size()) - 1);
     const FrameTraffic traffic = m_context.m_peers.traffic();
@@ -372,7 +372,7 @@
         if (peer.m_dataCentre != m_context.m_settings.m_dataCentre)
             continue;
         const NodeView *view = m_fleet.membership().find(peer.m_node);
-        const TimePoint heard = std::max(view ? view->m_lastHeard : m_startedAt, m_startedAt);
+        const TimePoint heard = std::max(view ? view->m_lastReceivedAt : m_startedAt, m_startedAt);
         if (now - heard > peerSilence)
             m_config.onPeerSilent(peer.m_node);
     }
@@ -423,7 +423,7 @@
 void Control::execute(const HandOverJobs &command)
 {
     m_context.m_log.info("jobs-handed-over", {{LogField::Reason, command.m_reason}});
-    m_jobs.onNotice(NoticeScope::OwnVm);
+    m_jobs.onReclaimNotice(ReclaimScope::OwnVm);
 }
 
 void Control::execute(const CutRemaining &command)
--- a/src/kernel/job_driver.cpp
+++ b/src/kernel/job_driver.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-JobDriver::JobDriver(ControlContext &context, FleetDriver &fleet, RunAttempt runAttempt)
+JobDriver::JobDriver(ControlContext &context, FleetDriver &fleet, AttemptCallbacks runAttempt)
     : m_context(context)
     , m_fleet(fleet)
     , m_runAttempt(std::move(runAttempt))
@@ -46,11 +46,12 @@
 void JobDriver::runTicks()
 {
     for (;;) {
-        const bool isUp = m_context.m_platform.isUp();
-        if (isUp != m_platformUp) {
-            m_platformUp = isUp;
-            m_context.m_log.info("platform-state", {{LogField::State, isUp ? "up" : "down"}});
-            m_table.onPlatform(isUp, m_context.now());
+        const bool isReachable = m_context.m_platform.isReachable();
+        if (isReachable != m_platformUp) {
+            m_platformUp = isReachable;
+            m_context.m_log.info("platform-state",
+                                 {{LogField::State, isReachable ? "up" : "down"}});
+            m_table.onPlatformChanged(isReachable, m_context.now());
         }
         m_table.tick(m_context.now(), m_context.wallNow());
         run();
@@ -89,7 +90,7 @@
             sleepFiber(logPoll);
             continue;
         }
-        if (const auto *cut = std::get_if<CutBack>(&answer))
+        if (const auto *cut = std::get_if<DiscardTokens>(&answer))
             countRecomputed(job, member, position.m_offset - cut->m_position.m_offset);
         std::shared_ptr<JobFeed> feed;
         const auto *serve = std::get_if<ServeFrom>(&answer);
@@ -190,9 +191,9 @@
     run();
 }
 
-void JobDriver::onNotice(NoticeScope scope)
+void JobDriver::onReclaimNotice(ReclaimScope scope)
 {
-    m_table.onNotice(scope, m_context.now());
+    m_table.onReclaimNotice(scope, m_context.now());
     run();
 }
 
@@ -235,7 +236,7 @@
     run();
 }
 
-std::size_t JobDriver::unfinished() const
+std::size_t JobDriver::unfinishedJobs() const
 {
     return m_table.isDrained() ? 0 : m_table.summaries().size();
 }
@@ -266,13 +267,13 @@
     m_logs.follow(command.m_log);
 }
 
-void JobDriver::execute(const LeaveLog &command)
+void JobDriver::execute(const UnfollowLog &command)
 {
     m_logs.leave(command.m_log);
 }
 
 void JobDriver::askPeer(const NodeId &peer, const wire::PeerRequestBody &body,
-                        JobMessenger::TakeReply take)
+                        JobMessenger::ReplyHandler take)
 {
     m_messenger.ask(peer, body, std::move(take), [this, peer](bool hasAnswered) {
         if (!hasAnswered)
@@ -350,7 +351,7 @@
     m_runAttempt.m_cancel(command);
 }
 
-void JobDriver::execute(const TellAccepted &command)
+void JobDriver::execute(const ReportAccepted &command)
 {
     m_context.m_metrics.add(Counter::JobsAccepted);
     m_context.m_journal.record(m_context.wallNow(), RequestId(command.m_job.text()),
@@ -358,17 +359,17 @@
     m_feeds.tell(command.m_job, FeedAccepted{}, false);
 }
 
-void JobDriver::execute(const TellRefused &command)
+void JobDriver::execute(const ReportRefused &command)
 {
     m_feeds.tell(command.m_job, FeedRefused{command.m_error}, true);
 }
 
-void JobDriver::execute(const TellReattach &command)
+void JobDriver::execute(const RequestReattach &command)
 {
     m_feeds.tell(command.m_job, FeedMoved{command.m_node}, true);
 }
 
-void JobDriver::execute(const TellOver &command)
+void JobDriver::execute(const ReportEnded &command)
 {
     const RequestId request(command.m_job.text());
     if (command.m_state == JobState::Provisional) {
@@ -383,10 +384,10 @@
                                    isDone ? Decision::Done : Decision::Failed);
     }
     m_running.erase(command.m_job);
-    m_feeds.tell(command.m_job, FeedOver{command.m_state}, true);
+    m_feeds.tell(command.m_job, FeedEnded{command.m_state}, true);
 }
 
-void JobDriver::execute(const TellOverruled &command)
+void JobDriver::execute(const ReportOverruled &command)
 {
     m_context.m_metrics.add(Counter::JobsOverruled);
     m_context.m_log.warning("job-overruled", {{LogField::Job, command.m_job},
