--- a/include/gypsumdale/serving/duty_lease.hpp
+++ b/include/gypsumdale/serving/duty_lease.hpp
@@ -94,7 +94,7 @@
     LeaseRecord m_seen;
     bool m_hasRead = false;
     bool m_isHeld = false;
-    bool m_isUnsure = false;
+    bool m_needsRead = false;
     bool m_hasResigned = false;
     TimePoint m_heldSince{};
     TimePoint m_unchangedSince{};
--- a/include/gypsumdale/serving/first_event_forecast.hpp
+++ b/include/gypsumdale/serving/first_event_forecast.hpp
@@ -75,7 +75,7 @@
     static constexpr Duration mixSpan = std::chrono::seconds(8);
 
     /// Placed requests of one service.
-    struct Mix
+    struct RequestMix
     {
         SlidingSum m_requests{mixSpan};
         SlidingSum m_promptTokens{mixSpan};
@@ -83,9 +83,9 @@
         std::map<int, SlidingSum> m_ownTokens;
     };
 
-    std::optional<double> partAhead(const ForecastRequest &request, TimePoint now);
+    std::optional<double> fractionAhead(const ForecastRequest &request, TimePoint now);
 
-    std::map<ServiceId, Mix> m_mixes;
+    std::map<ServiceId, RequestMix> m_requestMixes;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/serving/fleet_quota.hpp
+++ b/include/gypsumdale/serving/fleet_quota.hpp
@@ -83,7 +83,7 @@
 public:
     explicit FleetQuota(FleetQuotaSettings settings)
         : m_settings(settings)
-        , m_heardUntil(settings.m_restartedAt.value_or(TimePoint{}))
+        , m_reachableUntil(settings.m_restartedAt.value_or(TimePoint{}))
     {}
 
     /// Decides one request of a cost, and counts it if it is admitted. Complexity: linear in the
@@ -112,18 +112,18 @@
         double m_admittedTotal = 0;
         SlidingSum m_demand{demandSpan};
         /// Remaining part of this VM's share of the rate, used while the bucket is low.
-        double m_rateRoom = 0;
+        double m_shareLevel = 0;
         /// Rate that is reserved for each silent VM.
-        double m_rateOfOne = 0;
+        double m_ratePerNode = 0;
         TimePoint m_filledAt{};
-        /// Value of `m_heardSeconds` up to which the bucket was filled.
-        double m_filledTo = 0;
+        /// Value of `m_reachableSeconds` up to which the bucket was filled.
+        double m_filledToReachable = 0;
         bool m_isNew = true;
     };
     struct Peer
     {
         std::map<AccountId, ReportedUsage> m_uses;
-        TimePoint m_heardAt{};
+        TimePoint m_lastReportAt{};
     };
     /// The fleet as this VM sees it.
     struct Fleet
@@ -131,20 +131,23 @@
         double m_nodes = 1;
         std::size_t m_silent = 0;
 
-        double heardShare() const { return (m_nodes - static_cast<double>(m_silent)) / m_nodes; }
+        double reachableShare() const
+        {
+            return (m_nodes - static_cast<double>(m_silent)) / m_nodes;
+        }
     };
 
     /// Averaging span of the demand: long enough to smooth clusters of requests, short enough to
     /// follow a burst.
     static constexpr Duration demandSpan = std::chrono::seconds(3);
 
-    Fleet lookAround(TimePoint now);
+    Fleet observeFleet(TimePoint now);
     double demandOfPeers(const AccountId &account, TimePoint now) const;
-    Fleet noteHeard(TimePoint now);
+    Fleet advanceReachableTime(TimePoint now);
     Bucket &bucketOf(const AccountId &account, TimePoint now);
     double capacityOf(const ClientAccount &account) const;
     double rateOf(const ClientAccount &account) const;
-    void fill(Bucket &bucket, const ClientAccount &account, const Fleet &fleet, double ratePart,
+    void fill(Bucket &bucket, const ClientAccount &account, const Fleet &fleet, double rateShare,
               TimePoint now) const;
 
     /// Returns the age from which a peer counts as silent: its report is overdue by as much as in a
@@ -163,8 +166,8 @@
     std::map<AccountId, Bucket> m_buckets;
     std::map<std::string, Peer> m_peers;
     /// Elapsed time, weighted at each moment by the share of VMs whose reports were received.
-    double m_heardSeconds = 0;
-    TimePoint m_heardUntil;
+    double m_reachableSeconds = 0;
+    TimePoint m_reachableUntil;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/serving/follower_state.hpp
+++ b/include/gypsumdale/serving/follower_state.hpp
@@ -24,7 +24,7 @@
     bool isKnown() const { return m_isKnown; }
 
 private:
-    std::int64_t m_change = 0;
+    std::int64_t m_changeNumber = 0;
     std::int64_t m_revision = 0;
     bool m_isKnown = false;
 };
--- a/include/gypsumdale/serving/prefill_estimator.hpp
+++ b/include/gypsumdale/serving/prefill_estimator.hpp
@@ -61,7 +61,7 @@
     };
 
     double speed() const;
-    static std::vector<double> wholeSpeeds(const std::deque<Sample> &samples);
+    static std::vector<double> totalDelaySpeeds(const std::deque<Sample> &samples);
     static std::vector<double> speedsBeyondQuickest(const std::deque<Sample> &samples);
 
     SlidingSum m_demand{demandSpan};
--- a/include/gypsumdale/serving/prompt_announcer.hpp
+++ b/include/gypsumdale/serving/prompt_announcer.hpp
@@ -18,7 +18,7 @@
 {
 public:
     /// Sets the number of VMs in the fleet and whether exchange intervals are stretched.
-    void setFleet(std::size_t vms, bool isSpreadOut);
+    void setFleet(std::size_t fleetSize, bool isStretched);
 
     /// Records a placed prompt and returns whether it is to be announced at once. `speed` is the
     /// number of tokens an engine reads per second; nothing is announced while it is unknown.
@@ -35,8 +35,8 @@
     bool isAmongLongest(double ownTokens) const;
 
     std::deque<Placed> m_placed;
-    std::size_t m_vms = 1;
-    bool m_isSpreadOut = false;
+    std::size_t m_fleetSize = 1;
+    bool m_isStretched = false;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/serving/retry_budget_share.hpp
+++ b/include/gypsumdale/serving/retry_budget_share.hpp
@@ -41,20 +41,20 @@
     void setFleetSize(std::size_t nodes);
 
 private:
-    struct Use
+    struct Usage
     {
-        explicit Use(Duration window)
+        explicit Usage(Duration window)
             : m_requests(window)
-            , m_repeats(window)
+            , m_retries(window)
         {}
         SlidingSum m_requests;
-        SlidingSum m_repeats;
+        SlidingSum m_retries;
     };
-    Use &useOf(const ServiceId &service);
+    Usage &usageOf(const ServiceId &service);
 
     RetryBudgetShareSettings m_settings;
     double m_fleetSize = 1;
-    std::map<ServiceId, Use> m_uses;
+    std::map<ServiceId, Usage> m_usages;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/serving/scale_planner.hpp
+++ b/include/gypsumdale/serving/scale_planner.hpp
@@ -73,9 +73,9 @@
     struct Need
     {
         /// Enough for first tokens within their target, with headroom for a burst.
-        int m_comfortable = 0;
+        int m_target = 0;
         /// Enough while steady ones are stand-ins, at several times the price.
-        int m_bare = 0;
+        int m_standIn = 0;
         /// Minimum below which requests accumulate.
         int m_least = 0;
     };
@@ -88,16 +88,16 @@
     };
     struct ServiceState
     {
-        Peak m_comfortable;
-        Peak m_bare;
+        Peak m_target;
+        Peak m_standIn;
         Peak m_least;
         /// When reclaimable upstreams were last taken away or refused.
         std::optional<TimePoint> m_reclaimedAt;
     };
 
     Need neededEngines(const ScaleInput &input, ServiceState &state, TimePoint now) const;
-    static int standInsFor(const Need &need, const std::map<DataCentreId, Present> &present,
-                           const ScaleInput &input, int available, bool isReclaiming);
+    static int countStandIns(const Need &need, const std::map<DataCentreId, Present> &present,
+                             const ScaleInput &input, int available, bool isReclaiming);
     bool isReclaiming(const ServiceState &state, TimePoint now) const;
 
     ScaleSettings m_settings;
--- a/include/gypsumdale/serving/steady_wall_clock.hpp
+++ b/include/gypsumdale/serving/steady_wall_clock.hpp
@@ -28,15 +28,15 @@
     WallMillis adjustToPeers(std::vector<WallMillis> offsets);
 
 private:
-    bool isOwnTimeOfDay(WallMillis correction) const;
-    void noteMedian(WallMillis median);
+    bool agreesWithSystemClock(WallMillis correction) const;
+    void recordMedian(WallMillis median);
 
     std::optional<WallMillis> m_offset;
     /// The offset according to the last reading of the system clock.
-    WallMillis m_offsetNow = 0;
+    WallMillis m_systemOffset = 0;
     /// Smallest of the consecutive medians that were beyond the tolerance on the same side.
-    WallMillis m_least = 0;
-    int m_medians = 0;
+    WallMillis m_smallestMedian = 0;
+    int m_medianCount = 0;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/serving/upstream_feed.hpp
+++ b/include/gypsumdale/serving/upstream_feed.hpp
@@ -90,7 +90,7 @@
     ApplyResult take(const UpstreamListUpdate &news, TimePoint confirmedAt, TimePoint now);
 
     /// Records that the store did not answer.
-    void onStoreUnavailable() { m_isStoreAway = true; }
+    void onStoreUnavailable() { m_isStoreUnavailable = true; }
 
     /// Removes entries whose retention expired. Returns whether any was removed. Complexity:
     /// linear.
@@ -107,7 +107,7 @@
     TimePoint confirmedAt() const { return m_confirmedAt; }
     bool isKnown() const { return m_list.m_revision > 0; }
     /// Returns whether an entry vanished and is only retained. Complexity: logarithmic.
-    bool isRetained(const UpstreamId &id) const { return m_vanished.contains(id); }
+    bool isRetained(const UpstreamId &id) const { return m_retainedUntil.contains(id); }
     /// Returns the upstreams whose entries are known to be unreadable.
     const std::set<UpstreamId> &unusable() const { return m_list.m_unusable; }
     /// Returns when the store last became available again; the clock's epoch if it was never
@@ -117,9 +117,9 @@
     const UpstreamHistory &history() const { return m_history; }
 
 private:
-    bool mayHaveLapsed(TimePoint confirmedAt) const;
-    bool keepsVanished(const UpstreamRecord &record, TimePoint now) const;
-    void storeAnswered(TimePoint now);
+    bool mayHaveExpired(TimePoint confirmedAt) const;
+    bool shouldRetain(const UpstreamRecord &record, TimePoint now) const;
+    void onStoreAvailable(TimePoint now);
     void put(const UpstreamRecord &record);
     void remove(const UpstreamId &id, TimePoint now);
     void drop(const UpstreamId &id);
@@ -130,10 +130,10 @@
     Duration m_heartbeat;
     UpstreamList m_list;
     /// Entries that vanished around an outage, with the end of their retention.
-    std::map<UpstreamId, TimePoint> m_vanished;
+    std::map<UpstreamId, TimePoint> m_retainedUntil;
     TimePoint m_confirmedAt{};
     TimePoint m_returnedAt{};
-    bool m_isStoreAway = false;
+    bool m_isStoreUnavailable = false;
     UpstreamHistory m_history;
 };
 
--- a/include/gypsumdale/serving/upstream_history.hpp
+++ b/include/gypsumdale/serving/upstream_history.hpp
@@ -27,10 +27,10 @@
 {
 public:
     /// Records that an upstream joined or changed. Complexity: logarithmic.
-    void recordChange(const UpstreamId &upstream) { note(upstream, false); }
+    void recordChange(const UpstreamId &upstream) { record(upstream, false); }
     /// Records that an upstream left. Complexity: logarithmic; linear when old records are
     /// discarded.
-    void noteGone(const UpstreamId &upstream) { note(upstream, true); }
+    void noteGone(const UpstreamId &upstream) { record(upstream, true); }
 
     /// Records that the list was replaced. Unobserved changes can't be expressed as a delta.
     void recordReplacement();
@@ -49,13 +49,13 @@
         bool m_isGone = false;
     };
 
-    void note(const UpstreamId &upstream, bool isGone);
-    void forgetOldest();
+    void record(const UpstreamId &upstream, bool isGone);
+    void discardOldest();
 
     std::map<UpstreamId, Entry> m_entries;
     std::int64_t m_newest = 0;
     /// Changes up to this number may have been discarded.
-    std::int64_t m_forgottenTo = 0;
+    std::int64_t m_discardedTo = 0;
     std::size_t m_goneCount = 0;
 };
 
--- a/include/gypsumdale/serving/upstream_pool.hpp
+++ b/include/gypsumdale/serving/upstream_pool.hpp
@@ -171,25 +171,25 @@
 private:
     using Candidates = std::vector<PooledUpstreamPointer>;
 
-    struct ToldLoad;
+    struct ReportedLoad;
 
     PooledUpstreamPointer pooledFor(const UpstreamRecord &record);
     void sumPeerLoads();
-    static void addPeerLoad(PooledUpstream &upstream, const ToldLoad &told);
+    static void addPeerLoad(PooledUpstream &upstream, const ReportedLoad &report);
     Candidates candidatesFor(const PlacementRequest &request) const;
 
     std::map<UpstreamId, PooledUpstreamPointer> m_upstreams;
     /// Upstreams that left and are still held by a request.
     std::map<UpstreamId, std::weak_ptr<PooledUpstream>> m_departed;
-    struct ToldLoad
+    struct ReportedLoad
     {
         InFlightLoad m_load;
         TimePoint m_at{};
     };
     struct PeerLoad
     {
-        std::map<UpstreamId, ToldLoad> m_loads;
-        TimePoint m_heardAt{};
+        std::map<UpstreamId, ReportedLoad> m_loads;
+        TimePoint m_receivedAt{};
     };
     std::map<std::string, PeerLoad> m_peerLoads;
     std::int64_t m_revision = 0;
--- a/include/gypsumdale/serving/usage_counts.hpp
+++ b/include/gypsumdale/serving/usage_counts.hpp
@@ -71,12 +71,12 @@
     std::map<WindowNumber, WindowCounts> m_own;
     /// Counts by window and process.
     std::map<WindowNumber, std::map<std::string, WindowCounts>> m_peers;
-    struct Heard
+    struct LastReport
     {
         std::int64_t m_incarnation = 0;
         TimePoint m_at{};
     };
-    std::map<std::string, Heard> m_heard;
+    std::map<std::string, LastReport> m_lastReports;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/serving/usage_windows.hpp
+++ b/include/gypsumdale/serving/usage_windows.hpp
@@ -51,7 +51,7 @@
         /// A report of every VM of the fleet was received at this time or later.
         WallMillis m_allReceivedSince = 0;
     };
-    using Heard = std::function<WindowCounts(WindowNumber)>;
+    using CountsLookup = std::function<WindowCounts(WindowNumber)>;
 
     /// Changes the due time after a reload of the settings.
     void setDue(Duration due) { m_due = due; }
@@ -61,7 +61,8 @@
 
     /// Returns the ledger that should replace the stored one, if any. Complexity: linear in
     /// accounts and the windows that are not reported.
-    std::optional<UsageLedger> ledgerToStore(const FleetObservation &look, const Heard &heard);
+    std::optional<UsageLedger> ledgerToStore(const FleetObservation &look,
+                                             const CountsLookup &lookUp);
 
     /// Returns the reports that are due and may be sent. Complexity: linear in accounts.
     std::vector<UsageReport> dueReports(WallMillis now) const;
@@ -72,16 +73,16 @@
 private:
     WallMillis endOf(WindowNumber window) const { return (window + 1) * m_span; }
     WindowNumber firstDue(WallMillis now) const;
-    bool isSettled(WindowNumber window, const FleetObservation &look) const;
+    bool isFinal(WindowNumber window, const FleetObservation &look) const;
     /// Returns the known counts of a window, received or provisional.
-    WindowCounts known(WindowNumber window, const Heard &heard) const;
+    WindowCounts known(WindowNumber window, const CountsLookup &lookUp) const;
     void removeBefore(WindowNumber window, UsageLedger &ledger);
 
     WallMillis m_span;
     Duration m_due;
     UsageLedger m_ledger;
     std::set<WindowNumber> m_sent;
-    WallMillis m_notedAt = 0;
+    WallMillis m_provisionalAt = 0;
 };
 
 } // namespace gypsumdale
--- a/src/serving/duty_lease.cpp
+++ b/src/serving/duty_lease.cpp
@@ -15,7 +15,7 @@
 {
     if (m_hasResigned)
         return NoLeaseAction{};
-    if (!m_hasRead || m_isUnsure)
+    if (!m_hasRead || m_needsRead)
         return ReadLease{};
     LeaseRecord wanted{m_self, m_incarnation, m_seen.m_fence, m_seen.m_revision};
     if (m_isHeld) {
@@ -29,8 +29,8 @@
         }
         return WriteLease{wanted};
     }
-    const Duration standstill = m_settings.m_term + m_settings.m_takeoverDelay;
-    if (m_seen.m_revision != 0 && now < m_unchangedSince + standstill)
+    const Duration takeoverWait = m_settings.m_term + m_settings.m_takeoverDelay;
+    if (m_seen.m_revision != 0 && now < m_unchangedSince + takeoverWait)
         return NoLeaseAction{};
     // A lease that was read long ago may have changed since. Reading it again costs one call and
     // avoids a refused write.
@@ -45,7 +45,7 @@
     const LeaseRecord seen = record.value_or(LeaseRecord{});
     const bool isChanged = !m_hasRead || seen.m_revision != m_seen.m_revision;
     m_hasRead = true;
-    m_isUnsure = false;
+    m_needsRead = false;
     m_readAt = sentAt;
     if (!isChanged)
         return;
@@ -65,7 +65,7 @@
 
 void DutyLease::onWriteFailed()
 {
-    m_isUnsure = true;
+    m_needsRead = true;
 }
 
 void DutyLease::onHolderReport(std::int64_t fence, std::int64_t revision, TimePoint now)
@@ -80,7 +80,7 @@
 void DutyLease::onFenced()
 {
     m_isHeld = false;
-    m_isUnsure = true;
+    m_needsRead = true;
 }
 
 void DutyLease::resign()
--- a/src/serving/first_event_forecast.cpp
+++ b/src/serving/first_event_forecast.cpp
@@ -8,18 +8,18 @@
 namespace {
 
 /// With fewer requests, a single long prompt would dominate the mix.
-constexpr double fewestRequests = 16;
+constexpr double minRequests = 16;
 /// Older reports are no evidence of an engine's state. VMs exchange reports four times a second;
 /// two lost ones in a row mean a link or a VM in trouble, or a fleet too large for the comparison.
-constexpr Duration oldestReport = std::chrono::milliseconds(500);
+constexpr Duration maxReportAge = std::chrono::milliseconds(500);
 /// Fraction of the remaining time that a forecast must exceed. It is below one because the forecast
 /// leaves out what makes the wait longer: more urgent requests that arrive later, and long prompts,
 /// which are read more slowly than shorter ones.
-constexpr double uncertainty = 0.8;
+constexpr double lateThreshold = 0.8;
 /// Retry delays are spread over this fraction of the delay, in addition to it. Callers that all
 /// return at one moment would form the next queue.
-constexpr double returnSpread = 0.5;
-constexpr Duration earliestReturn = std::chrono::milliseconds(150);
+constexpr double retrySpread = 0.5;
+constexpr Duration minRetryDelay = std::chrono::milliseconds(150);
 
 } // namespace
 
@@ -27,7 +27,7 @@
                                            std::int64_t promptTokens, std::int64_t ownTokens,
                                            TimePoint now)
 {
-    Mix &mix = m_mixes[service];
+    RequestMix &mix = m_requestMixes[service];
     mix.m_requests.add(1, now);
     mix.m_promptTokens.add(static_cast<double>(promptTokens), now);
     mix.m_ownTokens.try_emplace(priority, mixSpan)
@@ -36,14 +36,15 @@
 
 /// Returns the fraction of an engine's waiting prompt tokens that is read before a request: the
 /// tokens of requests that are at least as urgent, without the parts that engines cache.
-std::optional<double> FirstEventForecaster::partAhead(const ForecastRequest &request, TimePoint now)
+std::optional<double> FirstEventForecaster::fractionAhead(const ForecastRequest &request,
+                                                          TimePoint now)
 {
-    const auto found = m_mixes.find(request.m_placement.m_service);
-    if (found == m_mixes.end())
+    const auto found = m_requestMixes.find(request.m_placement.m_service);
+    if (found == m_requestMixes.end())
         return std::nullopt;
-    Mix &mix = found->second;
+    RequestMix &mix = found->second;
     const double all = mix.m_promptTokens.sum(now);
-    if (mix.m_requests.sum(now) < fewestRequests || all <= 0)
+    if (mix.m_requests.sum(now) < minRequests || all <= 0)
         return std::nullopt;
     double ahead = 0;
     for (auto &[priority, ownTokens] : mix.m_ownTokens) {
@@ -59,13 +60,13 @@
 {
     FirstEventForecast forecast;
     forecast.m_reportAge = pool.reportAge(now);
-    if (request.m_speed <= 0 || forecast.m_reportAge > oldestReport)
+    if (request.m_speed <= 0 || forecast.m_reportAge > maxReportAge)
         return std::nullopt;
-    const std::optional<double> part = partAhead(request, now);
+    const std::optional<double> fraction = fractionAhead(request, now);
     const std::optional<std::int64_t> pending = pool.minPendingTokens(request.m_placement, now);
-    if (!part || !pending)
+    if (!fraction || !pending)
         return std::nullopt;
-    const double ahead = *part * static_cast<double>(*pending);
+    const double ahead = *fraction * static_cast<double>(*pending);
     const PlacementRequest &placement = request.m_placement;
     const double own = static_cast<double>(
             std::max<std::int64_t>(0, placement.m_promptTokens - placement.m_sharedTokens));
@@ -78,17 +79,17 @@
 
 bool FirstEventForecaster::isTooLate(const FirstEventForecast &forecast, Duration timeLeft)
 {
-    return toSeconds(forecast.m_wait) > uncertainty * toSeconds(timeLeft);
+    return toSeconds(forecast.m_wait) > lateThreshold * toSeconds(timeLeft);
 }
 
 Duration FirstEventForecaster::timeUntilCapacity(const FirstEventForecast &forecast,
                                                  const CapacityTimeInputs &terms, double draw)
 {
-    Duration room = forecast.m_wait - terms.m_latencyTarget;
+    Duration delay = forecast.m_wait - terms.m_latencyTarget;
     if (terms.m_bootTime)
-        room = std::min(room, *terms.m_bootTime);
-    room = std::max(room, earliestReturn);
-    return room + fromSeconds(returnSpread * draw * toSeconds(room));
+        delay = std::min(delay, *terms.m_bootTime);
+    delay = std::max(delay, minRetryDelay);
+    return delay + fromSeconds(retrySpread * draw * toSeconds(delay));
 }
 
 } // namespace gypsumdale
--- a/src/serving/follower_state.cpp
+++ b/src/serving/follower_state.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-UpstreamChange absent(const UpstreamId &id, UpstreamChangeKind kind)
+UpstreamChange absentEntry(const UpstreamId &id, UpstreamChangeKind kind)
 {
     UpstreamChange change;
     change.m_record.m_id = id;
@@ -22,14 +22,14 @@
     news.m_newestChange = list.history().newest();
     if (list.storeReturnedAt() != TimePoint{})
         news.m_storeReturnedAgo = now - list.storeReturnedAt();
-    const auto differences = m_isKnown ? list.history().since(m_change) : std::nullopt;
+    const auto differences = m_isKnown ? list.history().since(m_changeNumber) : std::nullopt;
     if (!differences) {
         for (const auto &[id, record] : upstreams) {
             if (!list.isRetained(id))
                 news.m_changes.push_back({record, UpstreamChangeKind::Present});
         }
         for (const UpstreamId &id : list.unusable())
-            news.m_changes.push_back(absent(id, UpstreamChangeKind::Unusable));
+            news.m_changes.push_back(absentEntry(id, UpstreamChangeKind::Unusable));
         return news;
     }
     news.m_sinceRevision = m_revision;
@@ -37,15 +37,15 @@
         news.m_changes.push_back({upstreams.at(id), UpstreamChangeKind::Present});
     for (const UpstreamId &id : differences->m_gone) {
         const bool isUnusable = list.unusable().contains(id);
-        news.m_changes.push_back(absent(id, isUnusable ? UpstreamChangeKind::Unusable
-                                                       : UpstreamChangeKind::Removed));
+        news.m_changes.push_back(absentEntry(id, isUnusable ? UpstreamChangeKind::Unusable
+                                                            : UpstreamChangeKind::Removed));
     }
     return news;
 }
 
 void FollowerState::onApplied(const UpstreamListUpdate &news)
 {
-    m_change = news.m_newestChange;
+    m_changeNumber = news.m_newestChange;
     m_revision = news.m_revision;
     m_isKnown = true;
 }
--- a/src/serving/prefill_estimator.cpp
+++ b/src/serving/prefill_estimator.cpp
@@ -11,14 +11,14 @@
 
 /// Shorter prompts are read within the time of a connection and a processing step, so that their
 /// differences in delay aren't caused by prefill.
-constexpr std::int64_t leastTokens = 500;
+constexpr std::int64_t minTokens = 500;
 /// Number of requests from which the speed is estimated.
-constexpr std::size_t mostSamples = 32;
+constexpr std::size_t maxSamples = 32;
 /// Minimum number of observed speeds for an estimate.
-constexpr std::size_t fewestSpeeds = 4;
+constexpr std::size_t minSpeeds = 4;
 /// Quantile of the observed speeds that is used. A shared part that was not cached, or an
 /// unreported request of another VM, appears as a lower speed; nothing appears as a higher one.
-constexpr double takenQuantile = 0.75;
+constexpr double speedQuantile = 0.75;
 
 double quantileOf(std::vector<double> values, double quantile)
 {
@@ -36,15 +36,15 @@
 
 void PrefillEstimator::recordUncontended(std::int64_t ownTokens, Duration wait)
 {
-    if (ownTokens < leastTokens || wait <= Duration::zero())
+    if (ownTokens < minTokens || wait <= Duration::zero())
         return;
     m_samples.push_back({static_cast<double>(ownTokens), toSeconds(wait)});
-    if (m_samples.size() > mostSamples)
+    if (m_samples.size() > maxSamples)
         m_samples.pop_front();
 }
 
 /// Returns the speeds on the assumption that the whole delay was spent on prefill.
-std::vector<double> PrefillEstimator::wholeSpeeds(const std::deque<Sample> &samples)
+std::vector<double> PrefillEstimator::totalDelaySpeeds(const std::deque<Sample> &samples)
 {
     std::vector<double> speeds;
     speeds.reserve(samples.size());
@@ -81,13 +81,13 @@
 /// underestimates the speed.
 double PrefillEstimator::speed() const
 {
-    if (m_samples.size() < fewestSpeeds)
+    if (m_samples.size() < minSpeeds)
         return 0;
-    const double whole = quantileOf(wholeSpeeds(m_samples), takenQuantile);
+    const double whole = quantileOf(totalDelaySpeeds(m_samples), speedQuantile);
     std::vector<double> beyond = speedsBeyondQuickest(m_samples);
-    if (beyond.size() < fewestSpeeds)
+    if (beyond.size() < minSpeeds)
         return whole;
-    return std::max(whole, quantileOf(std::move(beyond), takenQuantile));
+    return std::max(whole, quantileOf(std::move(beyond), speedQuantile));
 }
 
 PrefillRate PrefillEstimator::rate(TimePoint now)
--- a/src/serving/retry_budget_share.cpp
+++ b/src/serving/retry_budget_share.cpp
@@ -8,33 +8,33 @@
 
 /// Fraction of the budget that is used. A request and its retry may fall into different windows,
 /// which users count separately.
-constexpr double spentPart = 0.8;
+constexpr double usedFraction = 0.8;
 
 } // namespace
 
-RetryBudgetShare::Use &RetryBudgetShare::useOf(const ServiceId &service)
+RetryBudgetShare::Usage &RetryBudgetShare::usageOf(const ServiceId &service)
 {
-    return m_uses.try_emplace(service, m_settings.m_window).first->second;
+    return m_usages.try_emplace(service, m_settings.m_window).first->second;
 }
 
 void RetryBudgetShare::noteRequest(const ServiceId &service, TimePoint now)
 {
-    useOf(service).m_requests.add(1, now);
+    usageOf(service).m_requests.add(1, now);
 }
 
 double RetryBudgetShare::left(const ServiceId &service, TimePoint now)
 {
-    Use &use = useOf(service);
+    Usage &usage = usageOf(service);
     const double allowed =
-            m_settings.m_ratio * use.m_requests.sum(now) + m_settings.m_slack / m_fleetSize;
-    return spentPart * allowed - use.m_repeats.sum(now);
+            m_settings.m_ratio * usage.m_requests.sum(now) + m_settings.m_slack / m_fleetSize;
+    return usedFraction * allowed - usage.m_retries.sum(now);
 }
 
 bool RetryBudgetShare::tryTake(const ServiceId &service, TimePoint now)
 {
     if (left(service, now) < 1)
         return false;
-    useOf(service).m_repeats.add(1, now);
+    usageOf(service).m_retries.add(1, now);
     return true;
 }
 
--- a/src/serving/scale_planner.cpp
+++ b/src/serving/scale_planner.cpp
@@ -11,7 +11,7 @@
 /// Time for which a data centre that refused reclaimable upstreams is not asked again.
 constexpr Duration refusalPause = std::chrono::seconds(2);
 /// Fraction of an engine's slots that may be in use while first tokens still meet their target.
-constexpr double slotsInUse = 0.35;
+constexpr double maxSlotUse = 0.35;
 
 using Present = ScalePlanner::Present;
 
@@ -63,7 +63,7 @@
 
 /// Distributes upstreams over the data centres, the cheapest first, within the capacity of each.
 std::map<DataCentreId, int> spread(int count, const ScaleInput &input,
-                                   const std::map<DataCentreId, int> &room)
+                                   const std::map<DataCentreId, int> &capacity)
 {
     std::vector<DataCentreId> byPrice = input.m_dataCentres;
     const auto &prices = input.m_service->m_scaling->m_prices;
@@ -76,15 +76,15 @@
                          return priceOf(left) < priceOf(right);
                      });
     std::map<DataCentreId, int> parts;
-    bool hasRoom = true;
-    while (count > 0 && hasRoom) {
-        hasRoom = false;
+    bool hasCapacity = true;
+    while (count > 0 && hasCapacity) {
+        hasCapacity = false;
         for (const DataCentreId &dataCentre : byPrice) {
-            if (count == 0 || parts[dataCentre] >= room.at(dataCentre))
+            if (count == 0 || parts[dataCentre] >= capacity.at(dataCentre))
                 continue;
             ++parts[dataCentre];
             --count;
-            hasRoom = true;
+            hasCapacity = true;
         }
     }
     return parts;
@@ -114,7 +114,7 @@
 {
     double perEngine = m_settings.m_runningPerEngine;
     if (const auto &engine = input.m_service->m_engine)
-        perEngine = std::min(perEngine, std::max(1.0, slotsInUse * engine->m_slots));
+        perEngine = std::min(perEngine, std::max(1.0, maxSlotUse * engine->m_slots));
     const int byRunning = static_cast<int>(std::ceil(input.m_running / perEngine));
     const PrefillRate &reading = input.m_reading;
     const auto byReading = [&reading](double load) {
@@ -123,14 +123,13 @@
     // Without a known speed, nothing is ordered in anticipation.
     Need need{byRunning, byRunning, 0};
     if (reading.m_speed > 0) {
-        need.m_comfortable = std::max(byRunning, byReading(m_settings.m_readingLoad));
+        need.m_target = std::max(byRunning, byReading(m_settings.m_readingLoad));
         // Requests in flight are unsuitable here: they accumulate because engines are missing.
-        need.m_bare = byReading(m_settings.m_standInLoad);
+        need.m_standIn = byReading(m_settings.m_standInLoad);
         need.m_least = byReading(m_settings.m_riskLoad);
     }
-    need.m_comfortable =
-            state.m_comfortable.raise(need.m_comfortable, now, m_settings.m_lowerAfter);
-    need.m_bare = state.m_bare.raise(need.m_bare, now, m_settings.m_lowerAfter);
+    need.m_target = state.m_target.raise(need.m_target, now, m_settings.m_lowerAfter);
+    need.m_standIn = state.m_standIn.raise(need.m_standIn, now, m_settings.m_lowerAfter);
     need.m_least = state.m_least.raise(need.m_least, now, m_settings.m_lowerAfter);
     return need;
 }
@@ -146,21 +145,22 @@
 /// upstreams, also the shortage that a reclaim of the largest remaining group would cause: a steady
 /// engine takes longer to start than a notice lasts, and requests would accumulate at the few that
 /// remain. Ordering them from the first reclaim on cost more than it gained.
-int ScalePlanner::standInsFor(const Need &need, const std::map<DataCentreId, Present> &present,
-                              const ScaleInput &input, int available, bool isReclaiming)
+int ScalePlanner::countStandIns(const Need &need, const std::map<DataCentreId, Present> &present,
+                                const ScaleInput &input, int available, bool isReclaiming)
 {
-    const int lacking = need.m_bare - available;
-    const auto places = static_cast<int>(input.m_dataCentres.size());
-    const bool isWave = isReclaiming && 2 * withoutReclaimable(present, input) >= places;
+    const int shortage = need.m_standIn - available;
+    const auto dataCentreCount = static_cast<int>(input.m_dataCentres.size());
+    const bool isReclaimWave =
+            isReclaiming && 2 * withoutReclaimable(present, input) >= dataCentreCount;
     const int afterNext = need.m_least - (available - largestGroup(present));
-    return std::max({0, lacking, isWave ? afterNext : 0});
+    return std::max({0, shortage, isReclaimWave ? afterNext : 0});
 }
 
 std::vector<ScaleOrder> ScalePlanner::plan(const ScaleInput &input, TimePoint now)
 {
     const ScalingRule &rule = *input.m_service->m_scaling;
-    const int places = static_cast<int>(input.m_dataCentres.size());
-    if (places == 0)
+    const int dataCentreCount = static_cast<int>(input.m_dataCentres.size());
+    if (dataCentreCount == 0)
         return {};
     const auto present = countPresent(input);
     ServiceState &state = m_states[input.m_service->m_id];
@@ -168,34 +168,37 @@
         state.m_reclaimedAt = now;
     const Need need = neededEngines(input, state, now);
     const bool hasReclaimable = rule.m_reclaimablePrice > 0;
-    std::map<DataCentreId, int> room;
+    std::map<DataCentreId, int> capacity;
     for (const DataCentreId &dataCentre : input.m_dataCentres)
-        room[dataCentre] = rule.m_most;
-    const auto floors = spread(m_settings.m_steadyEngines, input, room);
-    const double least = m_settings.m_leastShare * rule.m_most * places;
-    const double target = std::max(least, need.m_comfortable * m_settings.m_spare);
-    const int each = static_cast<int>(std::ceil(target / places));
+        capacity[dataCentre] = rule.m_most;
+    const auto floors = spread(m_settings.m_steadyEngines, input, capacity);
+    const double least = m_settings.m_leastShare * rule.m_most * dataCentreCount;
+    const double target = std::max(least, need.m_target * m_settings.m_spare);
+    const int perDataCentre = static_cast<int>(std::ceil(target / dataCentreCount));
     std::map<DataCentreId, int> reclaimable;
     int available = 0;
     for (const DataCentreId &dataCentre : input.m_dataCentres) {
         const int floor = partOf(floors, dataCentre);
         if (hasReclaimable)
-            reclaimable[dataCentre] = std::clamp(each - floor, rule.m_least, rule.m_most - floor);
+            reclaimable[dataCentre] =
+                    std::clamp(perDataCentre - floor, rule.m_least, rule.m_most - floor);
         const auto here = present.find(dataCentre);
-        const int there = here == present.end() ? 0 : here->second.m_reclaimable;
-        available += floor + there;
-        room[dataCentre] = rule.m_most - floor - there;
+        const int reclaimableHere = here == present.end() ? 0 : here->second.m_reclaimable;
+        available += floor + reclaimableHere;
+        capacity[dataCentre] = rule.m_most - floor - reclaimableHere;
     }
-    const auto standIns = spread(
-            standInsFor(need, present, input, available, isReclaiming(state, now)), input, room);
+    const auto standIns =
+            spread(countStandIns(need, present, input, available, isReclaiming(state, now)), input,
+                   capacity);
     std::vector<ScaleOrder> orders;
     for (const DataCentreId &dataCentre : input.m_dataCentres) {
         const int leastSteady = hasReclaimable ? 0 : rule.m_least;
         const int steady = partOf(floors, dataCentre) + partOf(standIns, dataCentre);
         orders.push_back({input.m_service->m_id, dataCentre, false, std::max(steady, leastSteady)});
         const auto refused = m_refusedAt.find({input.m_service->m_id, dataCentre});
-        const bool isDry = refused != m_refusedAt.end() && now < refused->second + refusalPause;
-        if (hasReclaimable && !isDry)
+        const bool isRefusing =
+                refused != m_refusedAt.end() && now < refused->second + refusalPause;
+        if (hasReclaimable && !isRefusing)
             orders.push_back({input.m_service->m_id, dataCentre, true, reclaimable[dataCentre]});
     }
     return orders;
--- a/src/serving/upstream_feed.cpp
+++ b/src/serving/upstream_feed.cpp
@@ -9,34 +9,34 @@
 
 /// Time in which entries that expired during an outage of the store reappear after it, from the
 /// platform's guarantee of about two seconds.
-constexpr Duration returnTime = std::chrono::milliseconds(2000);
+constexpr Duration retentionPeriod = std::chrono::milliseconds(2000);
 /// Minimum number of an upstream's heartbeats that fail before its entry expires because of an
 /// outage: it expires after three missed ones, and the last successful one may have preceded the
 /// outage by almost one interval.
-constexpr int heartbeatsMissed = 2;
+constexpr int minMissedHeartbeats = 2;
 
 } // namespace
 
 /// Returns whether the list was unconfirmed for so long before `confirmedAt` that entries of living
 /// upstreams can have expired.
-bool UpstreamFeed::mayHaveLapsed(TimePoint confirmedAt) const
+bool UpstreamFeed::mayHaveExpired(TimePoint confirmedAt) const
 {
-    return confirmedAt - m_confirmedAt >= m_heartbeat * heartbeatsMissed;
+    return confirmedAt - m_confirmedAt >= m_heartbeat * minMissedHeartbeats;
 }
 
-void UpstreamFeed::storeAnswered(TimePoint now)
+void UpstreamFeed::onStoreAvailable(TimePoint now)
 {
-    if (m_isStoreAway && mayHaveLapsed(now))
+    if (m_isStoreUnavailable && mayHaveExpired(now))
         m_returnedAt = now;
-    m_isStoreAway = false;
+    m_isStoreUnavailable = false;
     m_confirmedAt = now;
 }
 
-bool UpstreamFeed::keepsVanished(const UpstreamRecord &record, TimePoint now) const
+bool UpstreamFeed::shouldRetain(const UpstreamRecord &record, TimePoint now) const
 {
     if (record.m_isDraining || m_returnedAt == TimePoint{})
         return false;
-    return now < m_returnedAt + returnTime;
+    return now < m_returnedAt + retentionPeriod;
 }
 
 void UpstreamFeed::put(const UpstreamRecord &record)
@@ -48,8 +48,9 @@
         return;
     }
     m_list.m_unusable.erase(record.m_id);
-    const bool isBack = m_vanished.erase(record.m_id) > 0;
-    if (isBack || known == m_list.m_upstreams.end() || !isSameForRouting(known->second, record))
+    const bool hasReturned = m_retainedUntil.erase(record.m_id) > 0;
+    if (hasReturned || known == m_list.m_upstreams.end()
+        || !isSameForRouting(known->second, record))
         m_history.recordChange(record.m_id);
     m_list.m_upstreams[record.m_id] = record;
 }
@@ -64,13 +65,13 @@
     const auto known = m_list.m_upstreams.find(id);
     if (known == m_list.m_upstreams.end())
         return;
-    if (keepsVanished(known->second, now)) {
+    if (shouldRetain(known->second, now)) {
         known->second.m_isRetained = true;
-        m_vanished.try_emplace(id, m_returnedAt + returnTime);
+        m_retainedUntil.try_emplace(id, m_returnedAt + retentionPeriod);
         return;
     }
     m_list.m_upstreams.erase(known);
-    m_vanished.erase(id);
+    m_retainedUntil.erase(id);
 }
 
 /// Removes an upstream whose entry no longer identifies a usable upstream.
@@ -78,7 +79,7 @@
 {
     m_history.noteGone(id);
     m_list.m_upstreams.erase(id);
-    m_vanished.erase(id);
+    m_retainedUntil.erase(id);
     m_list.m_unusable.insert(id);
 }
 
@@ -102,17 +103,17 @@
 void UpstreamFeed::replaceList(UpstreamList list, TimePoint now)
 {
     keepLaterStarts(list);
-    std::erase_if(m_vanished,
+    std::erase_if(m_retainedUntil,
                   [&list](const auto &entry) { return list.m_upstreams.contains(entry.first); });
     for (const auto &[id, record] : m_list.m_upstreams) {
         if (list.m_upstreams.contains(id))
             continue;
-        if (list.m_unusable.contains(id) || !keepsVanished(record, now)) {
-            m_vanished.erase(id);
+        if (list.m_unusable.contains(id) || !shouldRetain(record, now)) {
+            m_retainedUntil.erase(id);
             continue;
         }
         list.m_upstreams.emplace(id, record).first->second.m_isRetained = true;
-        m_vanished.try_emplace(id, m_returnedAt + returnTime);
+        m_retainedUntil.try_emplace(id, m_returnedAt + retentionPeriod);
     }
     m_list = std::move(list);
     m_history.recordReplacement();
@@ -122,7 +123,7 @@
 {
     if (list.m_revision < m_list.m_revision)
         return false;
-    storeAnswered(now);
+    onStoreAvailable(now);
     replaceList(std::move(list), now);
     return true;
 }
@@ -130,7 +131,7 @@
 void UpstreamFeed::apply(const std::vector<UpstreamChange> &changes, std::int64_t revision,
                          TimePoint now)
 {
-    storeAnswered(now);
+    onStoreAvailable(now);
     applyEach(changes, now);
     if (revision > m_list.m_revision)
         m_list.m_revision = revision;
@@ -156,21 +157,21 @@
 UpstreamFeed::ApplyResult UpstreamFeed::take(const UpstreamListUpdate &news, TimePoint confirmedAt,
                                              TimePoint now)
 {
-    const bool isWhole = !news.m_sinceRevision;
-    if (!isWhole && (!isKnown() || m_list.m_revision < *news.m_sinceRevision))
+    const bool isFullList = !news.m_sinceRevision;
+    if (!isFullList && (!isKnown() || m_list.m_revision < *news.m_sinceRevision))
         return ApplyResult::ChangesMissing;
     // Changes up to an older revision are already included in this list.
     if (news.m_revision < m_list.m_revision)
         return ApplyResult::Older;
-    if (news.m_storeReturnedAgo && (!isKnown() || mayHaveLapsed(confirmedAt)))
+    if (news.m_storeReturnedAgo && (!isKnown() || mayHaveExpired(confirmedAt)))
         m_returnedAt = std::max(m_returnedAt, now - *news.m_storeReturnedAgo);
     // Applying the same revision again would record it as an update for its own sender.
-    const bool isHeldAlready = isKnown() && news.m_revision == m_list.m_revision;
-    if (isHeldAlready) {
+    const bool isAlreadyApplied = isKnown() && news.m_revision == m_list.m_revision;
+    if (isAlreadyApplied) {
         m_confirmedAt = std::max(m_confirmedAt, confirmedAt);
         return ApplyResult::Taken;
     }
-    if (isWhole) {
+    if (isFullList) {
         UpstreamList list;
         for (const UpstreamChange &change : news.m_changes) {
             if (change.m_kind == UpstreamChangeKind::Present)
@@ -196,17 +197,17 @@
 
 bool UpstreamFeed::expire(TimePoint now)
 {
-    bool hasDropped = false;
-    for (auto entry = m_vanished.begin(); entry != m_vanished.end();) {
+    bool hasRemoved = false;
+    for (auto entry = m_retainedUntil.begin(); entry != m_retainedUntil.end();) {
         if (now < entry->second) {
             ++entry;
             continue;
         }
         m_list.m_upstreams.erase(entry->first);
-        entry = m_vanished.erase(entry);
-        hasDropped = true;
+        entry = m_retainedUntil.erase(entry);
+        hasRemoved = true;
     }
-    return hasDropped;
+    return hasRemoved;
 }
 
 } // namespace gypsumdale
--- a/src/serving/upstream_pool.cpp
+++ b/src/serving/upstream_pool.cpp
@@ -17,26 +17,26 @@
 constexpr double runningCostTokens = 400;
 /// Cost of reading a shared token again, as tokens of queueing that are accepted to avoid it: it is
 /// paid for in addition to the time it takes.
-constexpr double readAgainCost = 3;
+constexpr double rereadCost = 3;
 /// Cost of leaving the own data centre, as prompt tokens: a constant for the latency, and a part
 /// per byte, as traffic between data centres is paid for.
-constexpr double awayCostTokens = 500;
-constexpr double awayCostPerByte = 0.25;
+constexpr double remoteCostTokens = 500;
+constexpr double remoteCostPerByte = 0.25;
 /// A plain service's request stays in its data centre unless its upstreams there are busy.
-constexpr double plainAwayCost = 6000;
+constexpr double plainRemoteCost = 6000;
 /// Cost of a plain service's running request; its upstreams have few slots.
 constexpr double plainRunningCost = 4000;
 /// Number of engines compared in addition to the home while reports are old. Two random choices are
 /// known to balance load nearly as well as comparing all; a third one covers other data centres.
-constexpr std::size_t drawnNear = 2;
-constexpr std::size_t drawnInAll = 3;
+constexpr std::size_t localSampleSize = 2;
+constexpr std::size_t sampleSize = 3;
 /// Numbers for a prompt that is announced to peers at once: the engine with the fewest streams
 /// delays them least, and no other VM sends its long prompt there too.
-constexpr std::size_t drawnNearIfTold = 8;
-constexpr std::size_t drawnInAllIfTold = 12;
+constexpr std::size_t announcedLocalSampleSize = 8;
+constexpr std::size_t announcedSampleSize = 12;
 /// Factor by which a plain service's upstream in another data centre is less likely to be drawn,
 /// because of latency and paid traffic.
-constexpr double drawnAwayFactor = 1.5;
+constexpr double remoteDrawFactor = 1.5;
 /// Cost that rules out an upstream that failed while another is available.
 constexpr double avoidedCost = 1e9;
 
@@ -46,13 +46,13 @@
 /// seven, so the limit is well above that.
 constexpr double failureLimit = 0.35;
 constexpr int failuresInRowLimit = 2;
-constexpr Duration shortestAvoid = std::chrono::milliseconds(500);
-constexpr Duration longestAvoid = std::chrono::seconds(4);
+constexpr Duration minAvoidTime = std::chrono::milliseconds(500);
+constexpr Duration maxAvoidTime = std::chrono::seconds(4);
 
 /// Returns the upstream that owns an affinity key: one over all data centres, as reading a shared
 /// part again in each of them costs more than the bytes of a request that is sent there.
-const PooledUpstream *homeOf(const std::string &key,
-                             const std::vector<PooledUpstreamPointer> &candidates, TimePoint now)
+const PooledUpstream *findHome(const std::string &key,
+                               const std::vector<PooledUpstreamPointer> &candidates, TimePoint now)
 {
     const PooledUpstream *home = nullptr;
     std::uint64_t best = 0;
@@ -76,7 +76,7 @@
 }
 
 /// Inputs of one selection among engines.
-struct Comparison
+struct SelectionContext
 {
     const PlacementRequest &m_request;
     bool m_areReportsOld = false;
@@ -93,46 +93,46 @@
     }
 };
 
-double loadCost(const PooledUpstream &upstream, const Comparison &comparison)
+double loadCost(const PooledUpstream &upstream, const SelectionContext &context)
 {
     const double running = upstream.running();
-    if (comparison.isPlain())
+    if (context.isPlain())
         return running * plainRunningCost;
-    return running * runningCostTokens + comparison.pendingTokens(upstream);
+    return running * runningCostTokens + context.pendingTokens(upstream);
 }
 
 /// Returns a prompt's cost for an engine's other streams. An engine reads prompts in pieces between
 /// the events of its streams, and a long prompt, or several in a row, causes a pause in all of
 /// them. Tokens beyond the permitted pause count once for each stream that waits.
-double pauseCost(const PooledUpstream &upstream, double ownTokens, const Comparison &comparison)
+double pauseCost(const PooledUpstream &upstream, double ownTokens, const SelectionContext &context)
 {
-    const double pauseTokens = comparison.m_request.m_maxPauseTokens;
+    const double pauseTokens = context.m_request.m_maxPauseTokens;
     if (pauseTokens <= 0)
         return 0;
-    const double beyond = comparison.pendingTokens(upstream) + ownTokens - pauseTokens;
+    const double beyond = context.pendingTokens(upstream) + ownTokens - pauseTokens;
     return upstream.running() * std::clamp(beyond, 0.0, ownTokens);
 }
 
-PooledUpstreamPointer cheapestOf(const std::vector<PooledUpstreamPointer> &candidates,
-                                 const PooledUpstream *home, const Comparison &comparison)
+PooledUpstreamPointer selectCheapest(const std::vector<PooledUpstreamPointer> &candidates,
+                                     const PooledUpstream *home, const SelectionContext &context)
 {
-    const PlacementRequest &request = comparison.m_request;
-    const bool isPlain = comparison.isPlain();
+    const PlacementRequest &request = context.m_request;
+    const bool isPlain = context.isPlain();
     const double bytes = static_cast<double>(request.m_bodyBytes);
-    const double awayCost = isPlain ? plainAwayCost : awayCostTokens + awayCostPerByte * bytes;
+    const double remoteCost =
+            isPlain ? plainRemoteCost : remoteCostTokens + remoteCostPerByte * bytes;
     PooledUpstreamPointer best;
     double bestCost = std::numeric_limits<double>::max();
     for (const PooledUpstreamPointer &candidate : candidates) {
-        double cost = loadCost(*candidate, comparison);
+        double cost = loadCost(*candidate, context);
         const bool isHome = candidate.get() == home;
         if (!isHome)
-            cost += readAgainCost * static_cast<double>(request.m_sharedTokens);
+            cost += rereadCost * static_cast<double>(request.m_sharedTokens);
         const std::int64_t kept = isHome ? request.m_sharedTokens : 0;
-        cost += pauseCost(*candidate, static_cast<double>(request.m_promptTokens - kept),
-                          comparison);
+        cost += pauseCost(*candidate, static_cast<double>(request.m_promptTokens - kept), context);
         if (candidate->m_record.m_dataCentre != request.m_dataCentre)
-            cost += awayCost;
-        if (candidate->m_avoidUntil > comparison.m_now)
+            cost += remoteCost;
+        if (candidate->m_avoidUntil > context.m_now)
             cost += avoidedCost;
         if (cost < bestCost) {
             best = candidate;
@@ -143,7 +143,7 @@
 }
 
 /// Returns a number above 0 and up to 1 that is specific to the upstream and the request.
-double drawOf(const PooledUpstream &upstream, const PlacementRequest &request)
+double drawFor(const PooledUpstream &upstream, const PlacementRequest &request)
 {
     const std::string &id = upstream.m_record.m_id.text();
     const auto drawn = XXH3_64bits_withSeed(id.data(), id.size(), request.m_draw);
@@ -161,9 +161,9 @@
     for (const PooledUpstreamPointer &candidate : candidates) {
         const int running = candidate->running();
         // The minimum of exponential draws falls on each upstream in proportion to its rate.
-        double drawn = -std::log(drawOf(*candidate, request)) * (1 + std::max(0, running));
+        double drawn = -std::log(drawFor(*candidate, request)) * (1 + std::max(0, running));
         if (candidate->m_record.m_dataCentre != request.m_dataCentre)
-            drawn *= drawnAwayFactor;
+            drawn *= remoteDrawFactor;
         if (candidate->m_avoidUntil > now)
             drawn += avoidedCost;
         if (drawn < least) {
@@ -185,26 +185,26 @@
 }
 
 /// Returns the home and a few random engines, more of them in the own data centre.
-std::vector<PooledUpstreamPointer> sampleOf(std::vector<PooledUpstreamPointer> candidates,
-                                            const PooledUpstream *home,
-                                            const PlacementRequest &request, TimePoint now)
+std::vector<PooledUpstreamPointer> sampleCandidates(std::vector<PooledUpstreamPointer> candidates,
+                                                    const PooledUpstream *home,
+                                                    const PlacementRequest &request, TimePoint now)
 {
-    std::multimap<double, PooledUpstreamPointer> near;
-    std::multimap<double, PooledUpstreamPointer> away;
+    std::multimap<double, PooledUpstreamPointer> local;
+    std::multimap<double, PooledUpstreamPointer> remote;
     std::vector<PooledUpstreamPointer> sample;
     for (PooledUpstreamPointer &candidate : candidates) {
         if (candidate.get() == home)
             sample.push_back(candidate);
-        const bool isNear = candidate->m_record.m_dataCentre == request.m_dataCentre;
+        const bool isLocal = candidate->m_record.m_dataCentre == request.m_dataCentre;
         const double avoided = candidate->m_avoidUntil > now ? avoidedCost : 0;
-        const double drawn = drawOf(*candidate, request) + avoided;
-        (isNear ? near : away).emplace(drawn, std::move(candidate));
+        const double drawn = drawFor(*candidate, request) + avoided;
+        (isLocal ? local : remote).emplace(drawn, std::move(candidate));
     }
-    const std::size_t fromNear =
-            std::min(near.size(), request.m_isAnnounced ? drawnNearIfTold : drawnNear);
-    const std::size_t inAll = request.m_isAnnounced ? drawnInAllIfTold : drawnInAll;
-    takeFirst(near, fromNear, sample);
-    takeFirst(away, inAll - fromNear, sample);
+    const std::size_t localCount = std::min(
+            local.size(), request.m_isAnnounced ? announcedLocalSampleSize : localSampleSize);
+    const std::size_t totalCount = request.m_isAnnounced ? announcedSampleSize : sampleSize;
+    takeFirst(local, localCount, sample);
+    takeFirst(remote, totalCount - localCount, sample);
     return sample;
 }
 
@@ -215,10 +215,10 @@
     // Engines read one prompt after the other.
     double unread = 0;
     TimePoint readUntil{};
-    for (const ReportedPrompts &told : m_peerPrompts) {
-        unread = std::max(0.0, unread - speed * toSeconds(told.m_at - readUntil));
-        unread += static_cast<double>(told.m_tokens);
-        readUntil = told.m_at;
+    for (const ReportedPrompts &report : m_peerPrompts) {
+        unread = std::max(0.0, unread - speed * toSeconds(report.m_at - readUntil));
+        unread += static_cast<double>(report.m_tokens);
+        readUntil = report.m_at;
     }
     unread = std::max(0.0, unread - speed * toSeconds(now - readUntil));
     return unread + static_cast<double>(m_own.m_pendingTokens);
@@ -232,7 +232,7 @@
 }
 
 /// Notifies all holders of an upstream that it leaves or is gone.
-void tellOfLeaving(PooledUpstream &upstream)
+void notifyLeaving(PooledUpstream &upstream)
 {
     // A listener may remove itself.
     const auto listeners = std::exchange(upstream.m_onLeaving, {});
@@ -242,8 +242,8 @@
 
 /// Records whether an upstream leaves, after its state has changed. The entry of one that vanished
 /// may have been retained for a time, so the moment of its departure is unknown.
-void noteLeaving(PooledUpstream &upstream, bool wasLeaving,
-                 std::optional<TimePoint> lastConfirmedAt)
+void updateLeaving(PooledUpstream &upstream, bool wasLeaving,
+                   std::optional<TimePoint> lastConfirmedAt)
 {
     if (!isLeaving(upstream)) {
         upstream.m_notLeavingAt.reset();
@@ -253,7 +253,7 @@
         return;
     if (!upstream.m_isGone)
         upstream.m_notLeavingAt = lastConfirmedAt;
-    tellOfLeaving(upstream);
+    notifyLeaving(upstream);
 }
 
 } // namespace
@@ -269,7 +269,7 @@
         }
         const bool wasLeaving = isLeaving(*entry->second);
         entry->second->m_isGone = true;
-        noteLeaving(*entry->second, wasLeaving, lastConfirmedAt);
+        updateLeaving(*entry->second, wasLeaving, lastConfirmedAt);
         m_departed[entry->first] = entry->second;
         entry = m_upstreams.erase(entry);
     }
@@ -278,7 +278,7 @@
         const bool wasLeaving = isLeaving(*pooled);
         pooled->m_record = record;
         pooled->m_isGone = false;
-        noteLeaving(*pooled, wasLeaving, lastConfirmedAt);
+        updateLeaving(*pooled, wasLeaving, lastConfirmedAt);
         m_upstreams[id] = std::move(pooled);
     }
     std::erase_if(m_departed, [this](const auto &entry) {
@@ -290,11 +290,11 @@
 namespace {
 
 /// Notifies all holders of an upstream's process that another one has taken its id.
-void replace(PooledUpstream &upstream, std::int64_t startedAt)
+void markReplaced(PooledUpstream &upstream, std::int64_t startedAt)
 {
     upstream.m_isGone = true;
     upstream.m_isReplaced = true;
-    tellOfLeaving(upstream);
+    notifyLeaving(upstream);
     // A listener may remove itself.
     const auto listeners = std::exchange(upstream.m_onReplaced, {});
     for (const auto &[holder, listener] : listeners)
@@ -315,7 +315,7 @@
     if (known && known->m_record.m_startedAt == record.m_startedAt)
         return known;
     if (known)
-        replace(*known, record.m_startedAt);
+        markReplaced(*known, record.m_startedAt);
     return std::make_shared<PooledUpstream>();
 }
 
@@ -325,7 +325,7 @@
     PeerLoad &peer = m_peerLoads[node];
     peer = PeerLoad{{}, now};
     for (const auto &[upstream, load] : loads)
-        peer.m_loads[upstream] = ToldLoad{load, now};
+        peer.m_loads[upstream] = ReportedLoad{load, now};
     sumPeerLoads();
 }
 
@@ -335,7 +335,7 @@
     const auto found = m_peerLoads.find(node);
     if (found == m_peerLoads.end())
         return;
-    found->second.m_loads[upstream] = ToldLoad{load, now};
+    found->second.m_loads[upstream] = ReportedLoad{load, now};
     sumPeerLoads();
 }
 
@@ -352,14 +352,14 @@
         pooled->m_peerPrompts.clear();
     }
     for (const auto &[node, peer] : m_peerLoads) {
-        for (const auto &[id, told] : peer.m_loads) {
+        for (const auto &[id, report] : peer.m_loads) {
             const auto found = m_upstreams.find(id);
             // A peer that doesn't know of a restart yet reports requests that ended with the old
             // process.
             if (found == m_upstreams.end()
-                || found->second->m_record.m_startedAt != told.m_load.m_startedAt)
+                || found->second->m_record.m_startedAt != report.m_load.m_startedAt)
                 continue;
-            addPeerLoad(*found->second, told);
+            addPeerLoad(*found->second, report);
         }
     }
     const auto isEarlier = [](const ReportedPrompts &left, const ReportedPrompts &right) {
@@ -369,19 +369,19 @@
         std::sort(pooled->m_peerPrompts.begin(), pooled->m_peerPrompts.end(), isEarlier);
 }
 
-void UpstreamPool::addPeerLoad(PooledUpstream &upstream, const ToldLoad &told)
+void UpstreamPool::addPeerLoad(PooledUpstream &upstream, const ReportedLoad &report)
 {
-    upstream.m_peerTotal.m_running += told.m_load.m_running;
-    upstream.m_peerTotal.m_pendingTokens += told.m_load.m_pendingTokens;
-    if (told.m_load.m_pendingTokens > 0)
-        upstream.m_peerPrompts.push_back({told.m_at, told.m_load.m_pendingTokens});
+    upstream.m_peerTotal.m_running += report.m_load.m_running;
+    upstream.m_peerTotal.m_pendingTokens += report.m_load.m_pendingTokens;
+    if (report.m_load.m_pendingTokens > 0)
+        upstream.m_peerPrompts.push_back({report.m_at, report.m_load.m_pendingTokens});
 }
 
 Duration UpstreamPool::reportAge(TimePoint now) const
 {
     Duration oldest{};
     for (const auto &[node, peer] : m_peerLoads)
-        oldest = std::max(oldest, now - peer.m_heardAt);
+        oldest = std::max(oldest, now - peer.m_receivedAt);
     return oldest;
 }
 
@@ -411,10 +411,10 @@
         return drawByLoad(candidates, request, now);
     const PooledUpstream *home = nullptr;
     if (!request.m_affinityKey.empty())
-        home = homeOf(request.m_affinityKey, candidates, now);
+        home = findHome(request.m_affinityKey, candidates, now);
     if (m_areReportsOld)
-        candidates = sampleOf(std::move(candidates), home, request, now);
-    return cheapestOf(candidates, home, Comparison{request, m_areReportsOld, now});
+        candidates = sampleCandidates(std::move(candidates), home, request, now);
+    return selectCheapest(candidates, home, SelectionContext{request, m_areReportsOld, now});
 }
 
 std::optional<std::int64_t> UpstreamPool::minPendingTokens(const PlacementRequest &request,
@@ -440,7 +440,7 @@
         return;
     }
     if (verdict == AttemptResult::Refused) {
-        upstream.m_avoidUntil = std::max(upstream.m_avoidUntil, now + shortestAvoid / 5);
+        upstream.m_avoidUntil = std::max(upstream.m_avoidUntil, now + minAvoidTime / 5);
         return;
     }
     ++upstream.m_failuresInRow;
@@ -449,7 +449,7 @@
     if (!isBroken && upstream.m_failureShare < failureLimit)
         return;
     const int doublings = std::clamp(upstream.m_failuresInRow - failuresInRowLimit, 0, 3);
-    const Duration avoid = std::min(shortestAvoid * (1 << doublings), longestAvoid);
+    const Duration avoid = std::min(minAvoidTime * (1 << doublings), maxAvoidTime);
     upstream.m_avoidUntil = now + avoid;
 }
 
--- a/src/serving/usage_counts.cpp
+++ b/src/serving/usage_counts.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Age of the last report from which a VM may have ended: several exchanges were lost.
-constexpr Duration silentAfter = std::chrono::milliseconds(1200);
+constexpr Duration silenceTimeout = std::chrono::milliseconds(1200);
 
 } // namespace
 
@@ -26,9 +26,9 @@
 void UsageCounts::setPeer(const std::string &node, std::int64_t incarnation, WindowNumber window,
                           WindowCounts counts, TimePoint now)
 {
-    Heard &heard = m_heard[node];
-    if (incarnation >= heard.m_incarnation)
-        heard = Heard{incarnation, now};
+    LastReport &lastReport = m_lastReports[node];
+    if (incarnation >= lastReport.m_incarnation)
+        lastReport = LastReport{incarnation, now};
     mergeEnded({processName(node, incarnation), window, std::move(counts)});
 }
 
@@ -43,15 +43,15 @@
 
 std::vector<EndedProcessUsage> UsageCounts::ended(TimePoint now) const
 {
-    std::set<std::string> speaking;
-    for (const auto &[node, heard] : m_heard) {
-        if (now - heard.m_at < silentAfter)
-            speaking.insert(processName(node, heard.m_incarnation));
+    std::set<std::string> reporting;
+    for (const auto &[node, lastReport] : m_lastReports) {
+        if (now - lastReport.m_at < silenceTimeout)
+            reporting.insert(processName(node, lastReport.m_incarnation));
     }
     std::vector<EndedProcessUsage> result;
     for (const auto &[window, processes] : m_peers) {
         for (const auto &[process, counts] : processes) {
-            if (!speaking.contains(process))
+            if (!reporting.contains(process))
                 result.push_back({process, window, counts});
         }
     }
--- a/src/serving/usage_windows.cpp
+++ b/src/serving/usage_windows.cpp
@@ -10,17 +10,17 @@
 /// Time after a window's end from which a VM's report contains everything that it counted in the
 /// window: the age of its report, a message's latency, and the difference between synchronised
 /// clocks.
-constexpr WallMillis tellingTime = 1000;
+constexpr WallMillis reportingDelay = 1000;
 /// Margin before a report is due where a VM stays silent: a lease takeover needs 3.4 s at most, and
 /// the successor two calls.
 constexpr WallMillis reportMargin = 5000;
 /// Delay from a window's end to its first provisional counts: one exchange of a small fleet.
-constexpr WallMillis noteAfter = 400;
+constexpr WallMillis provisionalDelay = 400;
 /// Minimum interval between two writes of provisional counts.
-constexpr WallMillis noteEvery = 1000;
+constexpr WallMillis provisionalInterval = 1000;
 /// Number of final windows that are kept beyond those that can still be reported: a successor whose
 /// clock is behind must not make one of them final again with other counts.
-constexpr WindowNumber fixedKept = 2;
+constexpr WindowNumber keptFinalWindows = 2;
 
 WallMillis millisOf(Duration duration)
 {
@@ -41,20 +41,20 @@
     return (firstEnd + m_span - 1) / m_span - 1;
 }
 
-bool UsageWindows::isSettled(WindowNumber window, const FleetObservation &look) const
+bool UsageWindows::isFinal(WindowNumber window, const FleetObservation &look) const
 {
-    const bool isTold = look.m_allReceivedSince >= endOf(window) + tellingTime;
-    const WallMillis longestWait = std::max(millisOf(m_due) - reportMargin, tellingTime);
-    return isTold || look.m_now >= endOf(window) + longestWait;
+    const bool isReported = look.m_allReceivedSince >= endOf(window) + reportingDelay;
+    const WallMillis longestWait = std::max(millisOf(m_due) - reportMargin, reportingDelay);
+    return isReported || look.m_now >= endOf(window) + longestWait;
 }
 
-WindowCounts UsageWindows::known(WindowNumber window, const Heard &heard) const
+WindowCounts UsageWindows::known(WindowNumber window, const CountsLookup &lookUp) const
 {
-    WindowCounts counts = heard(window);
-    const auto noted = m_ledger.m_provisional.find(window);
-    if (noted == m_ledger.m_provisional.end())
+    WindowCounts counts = lookUp(window);
+    const auto provisional = m_ledger.m_provisional.find(window);
+    if (provisional == m_ledger.m_provisional.end())
         return counts;
-    for (const auto &[account, count] : noted->second) {
+    for (const auto &[account, count] : provisional->second) {
         std::int64_t &known = counts[account];
         known = std::max(known, count);
     }
@@ -63,41 +63,41 @@
 
 void UsageWindows::removeBefore(WindowNumber window, UsageLedger &ledger)
 {
-    const auto forget = [](auto &windows, WindowNumber first) {
+    const auto eraseBefore = [](auto &windows, WindowNumber first) {
         windows.erase(windows.begin(), windows.lower_bound(first));
     };
-    forget(ledger.m_provisional, window);
-    forget(ledger.m_fixed, window - fixedKept);
-    forget(m_sent, window - fixedKept);
+    eraseBefore(ledger.m_provisional, window);
+    eraseBefore(ledger.m_fixed, window - keptFinalWindows);
+    eraseBefore(m_sent, window - keptFinalWindows);
 }
 
 std::optional<UsageLedger> UsageWindows::ledgerToStore(const FleetObservation &look,
-                                                       const Heard &heard)
+                                                       const CountsLookup &lookUp)
 {
     UsageLedger next = m_ledger;
     bool isWorthWriting = false;
-    const bool mayNote = look.m_now >= m_notedAt + noteEvery;
-    for (WindowNumber window = firstDue(look.m_now); endOf(window) + noteAfter <= look.m_now;
+    const bool mayWriteProvisional = look.m_now >= m_provisionalAt + provisionalInterval;
+    for (WindowNumber window = firstDue(look.m_now); endOf(window) + provisionalDelay <= look.m_now;
          ++window) {
         if (m_sent.contains(window) || m_ledger.m_fixed.contains(window))
             continue;
-        WindowCounts counts = known(window, heard);
+        WindowCounts counts = known(window, lookUp);
         if (counts.empty())
             continue;
-        if (isSettled(window, look)) {
+        if (isFinal(window, look)) {
             next.m_fixed[window] = std::move(counts);
             next.m_provisional.erase(window);
             isWorthWriting = true;
             continue;
         }
-        WindowCounts &noted = next.m_provisional[window];
-        isWorthWriting = isWorthWriting || (mayNote && noted != counts);
-        noted = std::move(counts);
+        WindowCounts &provisional = next.m_provisional[window];
+        isWorthWriting = isWorthWriting || (mayWriteProvisional && provisional != counts);
+        provisional = std::move(counts);
     }
     if (!isWorthWriting)
         return std::nullopt;
     removeBefore(firstDue(look.m_now), next);
-    m_notedAt = look.m_now;
+    m_provisionalAt = look.m_now;
     return next;
 }
 
