--- a/tests/src/fuzz-duty-lease.cpp
+++ b/tests/src/fuzz-duty-lease.cpp
@@ -16,17 +16,17 @@
 namespace {
 
 constexpr Duration tick = 50ms;
-/// Two holders may not act in turns within this.
+/// Minimum time between acts of two holders that alternate.
 constexpr Duration leaseTime = 3s;
 
-/// A write that the store carries out later than its caller waited.
+/// A write that the store executes after its caller's timeout.
 struct LateWrite
 {
     TimePoint m_at;
     LeaseRecord m_record;
 };
 
-/// A VM with its lease, now and then paused.
+/// A VM with its lease, which is paused at times.
 struct Vm
 {
     explicit Vm(const std::string &name)
@@ -36,8 +36,8 @@
     TimePoint m_pausedUntil{};
 };
 
-/// Three VMs against a store that loses answers and carries writes out late; heard renewals are
-/// lost as well. Checks after each act what the cloud would see.
+/// Three VMs with a store that loses answers and executes writes late; received renewals are lost
+/// as well. After each act, the acts are checked as the cloud would see them.
 class World
 {
 public:
@@ -140,7 +140,7 @@
         if (!fence)
             return;
         for (std::size_t other = 0; other < m_vms.size(); ++other) {
-            // One that is paused doesn't act, but would at once if it woke now.
+            // A paused VM doesn't act, but would at once if it resumed now.
             RC_ASSERT(other == index || !m_vms[other].m_lease.fence(m_now));
         }
         const auto [entry, isNew] = m_fenceOwner.try_emplace(*fence, index);
--- a/tests/src/fuzz-fleet-quota.cpp
+++ b/tests/src/fuzz-fleet-quota.cpp
@@ -16,11 +16,11 @@
 
 constexpr double rate = 10000;
 constexpr double limit = 9 * rate;
-/// What the users tolerate: a tenth over the limit, and a constant.
+/// The excess that users tolerate: a tenth over the limit, and a constant.
 constexpr double tolerated = 1.1 * limit + 0.26 * rate;
 constexpr Duration step = 25ms;
 constexpr Duration exchangeEvery = 500ms;
-/// The interval of exchanges that the spread is a multiple of.
+/// Exchange interval of a small fleet, which is multiplied in a large one.
 constexpr Duration spreadEvery = 250ms;
 
 struct Admission
@@ -29,7 +29,7 @@
     double m_cost = 0;
 };
 
-/// Some VMs with uneven, changing demand; exchanges get lost while the fleet is parted.
+/// VMs with uneven, changing demand; exchanges are lost while the fleet is partitioned.
 class World
 {
 public:
@@ -46,7 +46,7 @@
         exchangeAll();
     }
 
-    /// Plays a time; returns the most that was admitted within one window.
+    /// Simulates a period; returns the most that was admitted within one window.
     double play(Duration length)
     {
         const TimePoint end = m_now + length;
@@ -81,7 +81,7 @@
             side = static_cast<int>(m_random(3));
     }
 
-    /// All VMs lose their power at once; the registry tells how many there are.
+    /// All VMs lose power at once; the registry lists how many there are.
     void restartAll()
     {
         FleetQuotaSettings settings;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Each VM is alone.
+    /// Every VM is isolated.
     void separate()
     {
         for (std::size_t node = 0; node < m_side.size(); ++node)
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Each VM tells its use at its own time within the spread interval.
+    /// Each VM reports its usage at its own time within the stretched interval.
     void exchangeSome()
     {
         const auto steps = static_cast<std::size_t>(spreadEvery * m_stretch / step);
@@ -181,8 +181,8 @@
         }
     });
     rc::prop("a rush that begins in a parted fleet is held to the limit", [] {
-        // Parts of the fleet hear nothing of each other; each keeps a share for those it doesn't
-        // hear, so that their sum stays below the limit.
+        // Partitioned parts of the fleet receive nothing from each other. Each reserves a share for
+        // the unreachable VMs, so that their sum stays below the limit.
         const auto seed = *rc::gen::noShrink(rc::gen::arbitrary<std::uint32_t>());
         World world(seed, 7);
         world.part();
@@ -191,7 +191,8 @@
         RC_ASSERT(world.play(12s) <= tolerated);
     });
     rc::prop("a rush is held to the limit in a fleet whose exchanges are spread out", [] {
-        // 60 VMs hear each other every 1.5 s. What they admit in between is in nobody's bucket.
+        // 60 VMs exchange reports every 1.5 s. What they admit in between is in no other VM's
+        // bucket.
         const auto seed = *rc::gen::noShrink(rc::gen::arbitrary<std::uint32_t>());
         World world(seed, 60, 6);
         for (int phase = 0; phase < 4; ++phase) {
@@ -200,8 +201,8 @@
         }
     });
     rc::prop("a rush goes on being held to the limit when all VMs restart", [] {
-        // After a power cut no VM has heard another for a second. Each took the whole rate for its
-        // own, and the fleet let twice the limit through.
+        // After a power failure no VM received a report of another for a second. Each used the
+        // whole rate, and the fleet admitted twice the limit.
         const auto seed = *rc::gen::noShrink(rc::gen::arbitrary<std::uint32_t>());
         World world(seed, 60, 6);
         world.drawDemand(rate * (1 + 5 * world.unit()));
--- a/tests/src/fuzz-upstream-starts.cpp
+++ b/tests/src/fuzz-upstream-starts.cpp
@@ -17,15 +17,14 @@
 
 constexpr std::uint32_t upstreamCount = 3;
 
-/// What the oracle knows of one upstream: the latest start that was told, and whether its entry is
-/// one to use.
+/// The oracle's state of one upstream: the latest reported start, and whether its entry is usable.
 struct Truth
 {
     std::int64_t m_start = 0;
     bool m_isUsable = false;
 };
 
-/// Upstreams that start again under their names, entries of theirs and of other writers, and peers
+/// Upstreams that restart under their ids, entries written by them and by other writers, and peers
 /// that report load for any start, in any order.
 class World
 {
@@ -109,7 +108,7 @@
             RC_ASSERT(upstream.m_own.m_running == heldAt(upstream));
             RC_ASSERT(upstream.m_peerTotal.m_running == reportedFor(id, truth.m_start));
         }
-        // What a request holds stays the process that it was sent to.
+        // A request keeps the process that it was sent to.
         for (const Held &held : m_held)
             RC_ASSERT(held.m_upstream->m_record.m_startedAt == held.m_start);
     }
@@ -146,10 +145,10 @@
 
 } // namespace
 
-// An engine starts again under its name while requests run there, peers report load of its former
-// start and others write entries that tell of earlier starts or of none. Requests were placed by
-// what the process before had in flight, and their holders waited for answers of a process that was
-// gone.
+// An engine restarts under its id while requests run there, peers report load of its former start,
+// and entries with earlier starts or without one are written. Guards against placing requests by
+// the former process's load, and against requests that wait for answers of a process that has
+// ended.
 TEST_CASE("upstreams that start again under their names")
 {
     const bool holds = rc::check([](const std::vector<std::uint32_t> &steps) {
--- a/tests/src/fuzz-usage-windows.cpp
+++ b/tests/src/fuzz-usage-windows.cpp
@@ -22,7 +22,8 @@
 constexpr WallMillis due = 10000;
 constexpr std::size_t vms = 4;
 
-/// A process of a VM: what it counted and heard, and what it believes to stand in the store.
+/// A process of a VM: its own counts, the received ones, and its assumption about the stored
+/// ledger.
 struct Process
 {
     std::int64_t m_incarnation = 0;
@@ -45,8 +46,8 @@
     UsageLedger m_ledger;
 };
 
-/// VMs that serve, tell each other what they counted, are killed and start again; several believe
-/// now and then that they hold the duty, as the lease has its own test.
+/// VMs that serve requests, exchange their counts, are killed and restart. At times several of them
+/// consider themselves the duty holder, as the lease has its own test.
 class Fleet
 {
 public:
@@ -201,9 +202,9 @@
 
 } // namespace
 
-// Two reports of one window with different counts can't be taken back. Processes start, count, tell
-// each other, and are killed; holders change at any moment and act beside each other; writes are
-// lost, or come true seconds later.
+// Two reports of one window with different counts can't be revoked. Processes start, count,
+// exchange counts and are killed; holders change at any moment and act concurrently; writes are
+// lost or take effect seconds later.
 TEST_CASE("a window is never reported with two sums, nor with more than began in it")
 {
     rc::prop("whatever happens", [] {
--- a/tests/src/unit-duty-lease.cpp
+++ b/tests/src/unit-duty-lease.cpp
@@ -24,7 +24,7 @@
     return std::holds_alternative<Step>(step);
 }
 
-/// Lets a lease take a store without one.
+/// Lets a lease be acquired in an empty store.
 LeaseRecord acquire(DutyLease &lease, TimePoint now)
 {
     lease.onRead(std::nullopt, now);
@@ -59,8 +59,8 @@
     }
     SECTION("ends for its holder before anybody may take it")
     {
-        // A holder is suspended for four seconds and goes on as if nothing had happened; meanwhile
-        // another has taken the lease. Its next call must not go out.
+        // A holder is suspended for four seconds and then continues, while another VM has acquired
+        // the lease. The holder's next call must not be sent.
         acquire(a, start);
         CHECK(a.fence(start + 2100ms));
         CHECK_FALSE(a.fence(start + 2200ms));
@@ -111,8 +111,8 @@
     }
 }
 
-// Each VM of a fleet of hundreds read the lease in every term, as it heard of the holder less
-// often.
+// In a fleet of hundreds, each VM read the lease in every term, because it received the holder's
+// reports less often.
 TEST_CASE("in a large fleet a few VMs watch over the lease")
 {
     constexpr std::size_t vms = 195;
--- a/tests/src/unit-entry-decisions.cpp
+++ b/tests/src/unit-entry-decisions.cpp
@@ -65,8 +65,8 @@
     }
     SECTION("sums the VMs, and both incarnations of one that was restarted")
     {
-        // A VM is killed in the middle of a window and counts from nothing again. Its requests
-        // before the kill ran all the same.
+        // A VM is killed within a window and counts from zero again. Its requests before the kill
+        // still count.
         usage.add(huber, 1000);
         usage.setPeer("b", 1, 0, {{huber, 3}}, start);
         usage.setPeer("b", 2, 0, {{huber, 2}}, start);
@@ -89,8 +89,8 @@
 
     SECTION("doesn't follow a jump of one VM's clock")
     {
-        // The clock of a VM jumps ahead by 2.4 s for a while. Followed, it would count requests
-        // into the next window, and the report of both would be off.
+        // The clock of a VM is 2.4 s ahead for a while. If followed, requests would be counted in
+        // the next window, and the reports of both would be wrong.
         CHECK(clock.read(start + 1s, 1003400) == 1001000);
         CHECK(clock.read(start + 2s, 1002000) == 1002000);
     }
@@ -109,8 +109,8 @@
     }
     SECTION("doesn't walk backwards while all messages wait for seconds")
     {
-        // An overloaded fleet's messages come up to two seconds late, some of them in time. Each
-        // VM followed each time, and all clocks walked backwards by up to ten seconds.
+        // An overloaded fleet's messages arrive up to two seconds late, some of them in time. Each
+        // VM followed every median, and all clocks moved backwards by up to ten seconds.
         for (int exchange = 0; exchange < 100; ++exchange) {
             const WallMillis delay = exchange % 10 == 0 ? 300 : 800 + 100 * (exchange % 10);
             CHECK(clock.adjustToPeers({-delay, -delay - 200, -delay + 100}) == 0);
@@ -125,8 +125,8 @@
     }
     SECTION("doesn't drift after peers whose messages are under way for a while")
     {
-        // Readings of peers are old by the time they come. Followed each time, all clocks would
-        // walk backwards together, and usage was off by up to a third.
+        // The peers' readings are old when they arrive. If every median were followed, all clocks
+        // would move backwards together; usage was wrong by up to a third.
         for (int exchange = 0; exchange < 100; ++exchange)
             clock.adjustToPeers({-250, -180, -90});
         CHECK(clock.read(start + 1s, 1001000) == 1001000);
@@ -178,9 +178,8 @@
     }
 }
 
-// All VMs are stopped in turn. Who reports a window's usage at last has itself started after the
-// others ended: what they had counted was known to those that it never heard, and the bill lacked
-// half of the requests.
+// All VMs are stopped one after another. The VM that reports a window last was started after the
+// others had ended, and never received their counts: the bill lacked half of the requests.
 TEST_CASE("counts of processes that ended are told to those that never heard them")
 {
     const AccountId huber("huber");
@@ -233,7 +232,7 @@
     input.m_service = &service;
     input.m_dataCentres = {DataCentreId("a"), DataCentreId("b"), DataCentreId("c")};
     input.m_upstreams = &upstreams;
-    // The cases below count with these, whatever a deployment sets.
+    // The following cases use these settings, independent of a deployment's.
     ScaleSettings settings;
     settings.m_readingLoad = 0.5;
     settings.m_standInLoad = 0.8;
@@ -260,8 +259,8 @@
     }
     SECTION("put steady ones in the place of those that were reclaimed")
     {
-        // The reclaimable engines of all data centres are taken away one after the other, and none
-        // are to be had. With the floor alone every request waits for seconds.
+        // The reclaimable engines of all data centres are taken away one after another, and no
+        // others are available. With the floor alone, every request waits for seconds.
         for (int engine = 0; engine < 5; ++engine)
             add("a" + std::to_string(engine), "a", true);
         input.m_running = 90;
@@ -272,19 +271,19 @@
     }
     SECTION("are for what is to be read, once the speed of an engine is known")
     {
-        // Requests in flight pile up while engines are missing, and say nothing of what is needed.
+        // Requests in flight accumulate while engines are missing, and are no measure of the need.
         input.m_running = 90;
         input.m_reading = {100000, 62000};
         for (int engine = 0; engine < 5; ++engine)
             add("a" + std::to_string(engine), "a", true);
-        // 100,000 tokens a second at 0.8 of 62,000 are read by three.
+        // 100,000 tokens per second at a load of 0.8 of 62,000 need three engines.
         CHECK(ordered(false, start) == 3);
     }
     SECTION("leave enough if the last data centre's are taken away too")
     {
-        // Reclaims go from data centre to data centre within seconds, and a steady engine starts
-        // slower than a notice lasts: ordered when the last ones go, it comes two seconds late, and
-        // callers give up at the one that is left.
+        // Reclaims affect one data centre after another within seconds, and a steady engine starts
+        // more slowly than a notice lasts. If ordered when the last reclaimable ones leave, it
+        // starts two seconds late, and callers give up at the one remaining engine.
         input.m_reading = {100000, 62000};
         for (const char *dataCentre : {"a", "b", "c"}) {
             for (int engine = 0; engine < 4; ++engine)
@@ -298,7 +297,8 @@
         reclaim("a");
         CHECK(ordered(false, start + 1s) == 1);
         reclaim("b");
-        // 100,000 at 1.3 of 62,000: two, of which one is there.
+        // 100,000 tokens per second at a load of 1.3 of 62,000 need two engines, one of which is
+        // present.
         CHECK(ordered(false, start + 2s) == 2);
         reclaim("c");
         CHECK(ordered(false, start + 3s) == 3);
@@ -313,9 +313,9 @@
     }
     SECTION("are for how fast engines read, not for how long a first event takes")
     {
-        // An engine reads 150,000 tokens a second and answers an empty prompt after 30 ms. With all
-        // of a wait counted as reading, 58,000 a second show, and 41 steady engines are ordered
-        // where 15 are needed.
+        // An engine reads 150,000 tokens per second and answers an empty prompt after 30 ms. If the
+        // whole delay counts as prefill, the estimate is 58,000 per second, and 41 steady engines
+        // are ordered where 15 are needed.
         rule.m_most = 40;
         service.m_scaling = rule;
         PrefillEstimator reading;
@@ -338,7 +338,7 @@
         reclaim("c");
         CHECK(ordered(false, start) == 1);
         reclaim("b");
-        // The load is read by 18.7 engines, with 1.3 times as much each by 15.
+        // 18.7 engines handle the load at their full speed; at 1.3 times it, 15 do.
         CHECK(ordered(false, start) == 15);
         reclaim("a");
         CHECK(ordered(false, start) == 24);
--- a/tests/src/unit-first-event-forecast.cpp
+++ b/tests/src/unit-first-event-forecast.cpp
@@ -49,7 +49,8 @@
     return request;
 }
 
-/// Notes requests of which half are more urgent, and half of whose prompts other requests share.
+/// Records requests, half of which are more urgent; half of each prompt is shared with other
+/// requests.
 void noteMix(FirstEventForecaster &forecaster, int count, TimePoint now)
 {
     for (int request = 0; request < count; ++request)
@@ -124,7 +125,7 @@
         ForecastRequest other = requestOf(2000, 0, 5);
         other.m_placement.m_service = ServiceId("other");
         CHECK_FALSE(forecastOf(other));
-        // The mix is older than it is kept.
+        // The mix is older than its span.
         CHECK_FALSE(forecastOf(requestOf(2000, 0, 5), start + 9s));
         pool.setPeerLoad("peer", {}, start - 600ms);
         CHECK_FALSE(forecastOf(requestOf(2000, 0, 5)));
@@ -181,26 +182,26 @@
     std::int64_t m_sharedTokens = 0;
     int m_priority = 0;
     bool m_hasReturned = false;
-    /// The forecast said that it would come too late.
+    /// The forecast predicted that it would be too late.
     bool m_isForetold = false;
 };
 
-/// What callers got.
+/// Results of the callers' requests.
 struct Outcomes
 {
     int m_inTime = 0;
     int m_late = 0;
     int m_inVain = 0;
     int m_rejected = 0;
-    /// Of those that were rejected, and asked again when they were told to.
+    /// Those that were rejected and retried after the given delay.
     int m_servedOnReturn = 0;
-    /// Foretold to come too late, and sent all the same.
+    /// Predicted to be too late, but sent nevertheless.
     int m_foretold = 0;
     int m_foretoldInTime = 0;
     int m_foretoldServed = 0;
 };
 
-/// Callers before a few engines that read one prompt after the other, the most urgent first.
+/// Callers of a few engines that read one prompt after the other, the most urgent first.
 class EngineLoad
 {
 public:
@@ -208,7 +209,7 @@
         : m_rejects(rejects)
     {}
 
-    /// Plays 16 s: five engines, one from the 4th second on, five again from the 10th on.
+    /// Simulates 16 s: five engines, one from the 4th second on, five again from the 10th on.
     Outcomes play()
     {
         setEngines(5);
@@ -229,14 +230,14 @@
     struct Engine
     {
         std::vector<Asked> m_waiting;
-        /// Own tokens of the first one in m_waiting that are still to be read, once it is read.
+        /// Unread own tokens of the first request in m_waiting, once its prefill has begun.
         double m_left = 0;
     };
 
     void setEngines(int count)
     {
         m_pool.update(enginesOf(count));
-        // Those that were at engines that left had their first event before the notice was over.
+        // Requests at engines that left had their first event before the notice expired.
         std::erase_if(m_engines, [this](const auto &entry) {
             return !m_pool.upstreams().contains(entry.first);
         });
@@ -246,7 +247,8 @@
 
     void ask(TimePoint now)
     {
-        // 20 short requests a second in clumps of four, and 5 long prompts that go before them.
+        // 20 short requests per second in clusters of four, and 5 long prompts that are more
+        // urgent.
         if (isEvery(now, 200ms)) {
             for (int request = 0; request < 4; ++request)
                 place({now, now + 3s, 800ms, 1800, 500, 5}, now);
@@ -282,7 +284,7 @@
         m_engines[upstream->m_record.m_id].m_waiting.push_back(asked);
     }
 
-    /// A caller comes back once, when it is told to, but after a third of its time at most.
+    /// A caller retries once, after the given delay, but after a third of its time at most.
     void reject(Asked asked, const FirstEventForecast &forecast, TimePoint now)
     {
         ++m_outcomes.m_rejected;
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Callers whose deadline has passed leave.
+    /// Callers leave when their deadline has passed.
     void leave(const UpstreamId &id, Engine &engine, TimePoint now)
     {
         auto &waiting = engine.m_waiting;
@@ -376,11 +378,11 @@
 
 } // namespace
 
-// Five engines are asked for nearly twice what one of them reads. Four are taken away, and come
-// back after six seconds. The one that is left reads long prompts before short ones, whose callers
-// wait three seconds and get nothing. For most of them the wait was known as they came: they are
-// told at once. The engine reads no more for that, so as many are served as before, some of them as
-// they come back.
+// Five engines receive nearly twice the load that one of them can read. Four are taken away, and
+// return after six seconds. The remaining one reads long prompts before short ones, whose callers
+// wait three seconds without an answer. For most of them the delay was predictable on arrival, so
+// they are rejected at once. The engine reads no more because of that, so as many are served as
+// before, some of them on a retry.
 TEST_CASE("one engine is left for five")
 {
     const Outcomes before = EngineLoad(false).play();
@@ -394,7 +396,8 @@
         CHECK(before.m_inVain > 80);
         CHECK((before.m_foretold - before.m_foretoldServed) * 2 > before.m_inVain);
         CHECK(before.m_foretoldInTime == 0);
-        // These were late: short requests before them left in vain, and so made room.
+        // These were late: short requests ahead of them left without an answer, which freed
+        // capacity.
         CHECK(before.m_foretoldServed * 2 < before.m_foretold);
     }
     SECTION("a third fewer wait in vain, and no fewer callers are served")
--- a/tests/src/unit-fleet-quota.cpp
+++ b/tests/src/unit-fleet-quota.cpp
@@ -14,7 +14,7 @@
 
 const TimePoint start{1h};
 constexpr double rate = 1000;
-/// Eight seconds of the rate and the burst.
+/// Eight seconds of the rate, and the burst.
 constexpr double limit = 9000;
 
 ClientAccount accountOf()
@@ -26,7 +26,7 @@
     return account;
 }
 
-/// Asks for a second's demand in ten parts; returns what was admitted.
+/// Sends a second's demand in ten parts; returns what was admitted.
 double askFor(FleetQuota &quota, double demand, TimePoint from)
 {
     double admitted = 0;
@@ -64,8 +64,9 @@
     }
     SECTION("serves a rush on at the rate, without waiting for a window to pass")
     {
-        // A member's rush takes the limit of a window in two seconds. Held to the sliding window
-        // alone, the member gets nothing for the next six, though its rate is due all the time.
+        // A member's burst uses the limit of a window within two seconds. With the sliding window
+        // as the only limit, the member gets nothing for the next six, although its rate is due all
+        // the time.
         for (int second = 0; second < 4; ++second)
             askFor(quota, 5 * rate, start + second * 1s);
         for (int second = 4; second < 12; ++second)
@@ -87,9 +88,9 @@
     }
     SECTION("lets an account in that comes late to this VM")
     {
-        // A buyer's account is served by the other VMs for a minute at half of its rate, and then
-        // sends a request here. All that the others admitted counted against a bucket that had
-        // never been filled: the buyer was refused for half a minute.
+        // The other VMs serve an account for a minute at half of its rate; then it sends a request
+        // to this VM. The others' admissions were charged to a bucket that had never been filled,
+        // so the account was refused for half a minute.
         for (int exchange = 0; exchange < 240; ++exchange) {
             const double admitted = 0.5 * rate * 0.25 * exchange;
             quota.setPeerUsage("peer", {{AccountId("huber"), {admitted, 0.5 * rate}}},
@@ -99,8 +100,8 @@
     }
     SECTION("leaves a silent peer its share")
     {
-        // Two VMs are cut off from each other. Each hears nobody and would admit the whole limit:
-        // together they would admit it twice.
+        // Two VMs are partitioned from each other. If each admitted the whole limit, they would
+        // admit it twice.
         quota.setPeerUsage("peer", {}, start);
         double admitted = 0;
         for (int second = 2; second < 10; ++second)
@@ -116,8 +117,8 @@
     }
     SECTION("admits only the rate in the first window after a restart")
     {
-        // All VMs are killed in the middle of a rush and start again with empty memories: the
-        // limit would be admitted a second time within one window.
+        // All VMs are killed during a burst and restart without state: the limit would be admitted
+        // a second time within one window.
         FleetQuotaSettings settings;
         settings.m_restartedAt = start;
         FleetQuota restarted(settings);
@@ -134,9 +135,9 @@
     }
 }
 
-// Nine VMs share an account's quota. A caller who is refused at one of them because its part is
-// used up is told to wait until that part has filled, two seconds later; his answer is late, though
-// the balancer sends him to another VM that had room all along.
+// Nine VMs share an account's quota. A caller that is refused at one of them, because its share is
+// used up, was told to wait two seconds until that share is refilled. Its answer is late, although
+// the load balancer sends it to another VM that had capacity all the time.
 TEST_CASE("a caller over a VM's part comes back when the fleet has room")
 {
     FleetQuota quota({});
@@ -167,7 +168,7 @@
     return account;
 }
 
-/// A fleet whose exchanges are spread out, of which the last VMs hear nobody for a while.
+/// A fleet with stretched exchange intervals, the last VMs of which receive nothing for a while.
 class SpreadFleet
 {
 public:
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Lets 50 ms pass: each pair's turn comes every 1,750 ms.
+    /// Simulates 50 ms; each pair exchanges every 1,750 ms.
     void step(std::size_t cutOff)
     {
         m_now += 50ms;
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Asks for requests of 3,000 tokens that make up a demand over all VMs in 50 ms.
+    /// Sends requests of 3,000 tokens that amount to a demand over all VMs in 50 ms.
     double ask(double demand)
     {
         double admitted = 0;
@@ -224,9 +225,9 @@
 
 } // namespace
 
-// In a fleet of 80 a third of the VMs is cut off just before an account's rush. A pair's turn comes
-// every 1.75 s, and a VM took the others for heard until 5.6 s had passed: each filled its bucket
-// at the fleet's rate, and the account got more than its quota allows.
+// In a fleet of 80, a third of the VMs is cut off just before an account's burst. A pair exchanges
+// every 1.75 s, and a VM counted the others as reachable until 5.6 s had passed: each filled its
+// bucket at the fleet's rate, and the account exceeded its quota.
 TEST_CASE("VMs that are cut off before a rush don't admit the fleet's rate each")
 {
     SpreadFleet fleet;
@@ -246,10 +247,10 @@
     }
 }
 
-// Three VMs lose sight of each other for a second, again and again, during an account's rush. In
-// the first 0.8 s of each silence nothing is kept for the others, and what they admitted meanwhile
-// is taken off nowhere once they are heard again: from silence to silence each VM's bucket holds
-// more than there is, and the account gets more than its quota tolerates.
+// Three VMs repeatedly lose contact with each other for a second during an account's burst. In the
+// first 0.8 s of each silence nothing is reserved for the others, and their admissions of that time
+// were subtracted nowhere after it: with each silence every VM's bucket holds more than is
+// available, and the account exceeds its tolerated quota.
 TEST_CASE("a quota holds while VMs lose sight of each other again and again")
 {
     constexpr std::size_t nodes = 3;
@@ -292,14 +293,14 @@
         most = std::max(most, sum);
     }
     CHECK(most <= 1.1 * limit);
-    // It does not hold the quota by refusing what is due.
+    // The quota must not be kept by refusing requests that are due.
     CHECK(most >= 0.8 * limit);
 }
 
 namespace {
 
-/// Nine VMs that start again at one moment after all were down. Each has read the registry and
-/// hears the others every 250 ms.
+/// Nine VMs that restart at the same moment after all were down. Each has read the registry and
+/// exchanges with the others every 250 ms.
 class ReturningFleet
 {
 public:
@@ -318,7 +319,7 @@
         return settings;
     }
 
-    /// Lets 50 ms pass, then asks at each VM in turn for requests of a cost that make up a demand.
+    /// Simulates 50 ms, then sends requests of a cost to each VM in turn that amount to a demand.
     /// Returns what was admitted.
     double step(double demand, double cost)
     {
@@ -357,9 +358,9 @@
 
 } // namespace
 
-// All VMs lose their power and come back at once, and with them the callers of an account that asks
-// for half of its quota. Each VM's bucket filled from the account's first request there on, so that
-// it was empty for just that: nine callers were refused for nothing, one at each VM.
+// All VMs lose power and return at once, and with them the callers of an account whose demand is
+// half of its quota. Each VM's bucket filled from the account's first request there on, so that it
+// was empty for that request: nine callers were refused without need, one at each VM.
 TEST_CASE("an account below its quota is served as all VMs return")
 {
     ReturningFleet fleet;
@@ -369,8 +370,8 @@
     CHECK(admitted >= 0.95 * 0.5 * rate);
 }
 
-// The same return in the middle of a rush: what was admitted before the VMs went down is forgotten,
-// and the rate alone may be admitted in the window that both share.
+// The same restart during a burst: the admissions before the VMs failed are unknown, so only the
+// rate may be admitted in the window that spans both.
 TEST_CASE("a rush is held to the rate as all VMs return")
 {
     ReturningFleet fleet;
@@ -380,9 +381,9 @@
     CHECK(admitted <= 7 * 1.2 * rate + ReturningFleet::nodes * 25);
 }
 
-// One VM of nine starts again and an account's first request reaches it three seconds later. What
-// the others admitted since then was taken from its bucket, what fills the bucket was not counted:
-// for seconds it refused all requests of an account that was below its quota.
+// One VM of nine restarts, and an account's first request reaches it three seconds later. The
+// others' admissions since then were subtracted from its bucket, but the refill was not added: for
+// seconds it refused all requests of an account below its quota.
 TEST_CASE("a restarted VM has no debt for what its peers admitted within the rate")
 {
     FleetQuota quota(ReturningFleet::restartedAtStart());
@@ -397,8 +398,8 @@
     CHECK(quota.admit(accountOf(), 25, start + 3s).m_verdict == QuotaVerdict::Admitted);
 }
 
-// A restarted VM that is cut off from all others for three seconds must not take the rate of that
-// time for its own when it hears them again: they have admitted it.
+// A restarted VM that is cut off from all others for three seconds must not use the rate of that
+// time when contact returns: the others have admitted it.
 TEST_CASE("a restarted VM counts only the part of the rate that it heard of")
 {
     FleetQuota quota(ReturningFleet::restartedAtStart());
--- a/tests/src/unit-placement-term.cpp
+++ b/tests/src/unit-placement-term.cpp
@@ -15,12 +15,12 @@
 
 constexpr Duration leavingApply = 3s;
 
-/// A list whose age a test moves by a paused clock.
+/// A list whose age a test controls by a paused clock.
 struct ListInUse
 {
     ListInUse() { m_clock.pause(); }
 
-    /// Notes that the store confirms the list now.
+    /// Records that the store confirms the list now.
     void confirm() { m_list.m_confirmedAt = m_clock.now(); }
     std::optional<TimePoint> until() const { return m_term.until(m_list, m_clock.now()); }
 
@@ -33,7 +33,8 @@
 
 TEST_CASE("a placement holds from the confirmation of its list on")
 {
-    // The time was counted from the placement, so that an old list held as long as a new one.
+    // The deadline was counted from the placement, so that an old list was valid as long as a new
+    // one.
     ListInUse use;
     use.confirm();
     const TimePoint confirmedAt = use.m_clock.now();
@@ -64,7 +65,7 @@
 
 TEST_CASE("a list that can't be had any newer is placed by for a short time")
 {
-    // A VM cut off from the store would serve nobody, or go by its old list without an end.
+    // A VM without contact to the store would serve nobody, or use its old list without a limit.
     ListInUse use;
     use.confirm();
     use.m_list.m_isUnconfirmable = true;
@@ -84,7 +85,7 @@
 
 TEST_CASE("the term of a placement made is moved by a confirmation only")
 {
-    // A term that was worked out anew at each look would never end while the store is away.
+    // A deadline recomputed at each check would never pass while the store is unavailable.
     ListInUse use;
     use.confirm();
     use.m_list.m_isUnconfirmable = true;
@@ -114,7 +115,7 @@
 
 TEST_CASE("a request goes out only if its bytes arrive within its term")
 {
-    // A connection that came about late says that the bytes will be late as well.
+    // If the connection took long, the bytes are expected to be late as well.
     Clock clock;
     clock.pause();
     const TimePoint now = clock.now();
@@ -139,7 +140,7 @@
 
 TEST_CASE("no term of a confirmable list outlasts the time to leave an upstream alone")
 {
-    // Each step kept within its own patience while their sum broke the bound.
+    // Each step kept its own timeout, but their sum exceeded the bound.
     rc::prop("a request that may go out arrives in time if its way takes as long as its connection",
              [] {
                  Clock clock;
--- a/tests/src/unit-prompt-news.cpp
+++ b/tests/src/unit-prompt-news.cpp
@@ -35,7 +35,7 @@
 {
     PromptAnnouncer news;
     news.setFleet(100, true);
-    // Three words in ten seconds.
+    // Three announcements in ten seconds.
     for (const double tokens : {20000.0, 30000.0, 40000.0})
         CHECK(news.shouldAnnounce(tokens, speed, start));
 
@@ -66,15 +66,15 @@
 constexpr int engines = 40;
 constexpr double requestsPerSecond = 450;
 constexpr Duration exchangeEvery = 1750ms;
-/// Until a word has come to a peer.
+/// Delay until an announcement reaches a peer.
 constexpr Duration wordTime = 10ms;
 constexpr Duration timeTarget = 600ms;
 constexpr double longestPrompt = 52000;
-/// From which a VM takes its longest prompts.
+/// Period in which a VM ranks its longest prompts.
 constexpr Duration rankedSpan = 10s;
 
-/// A fleet that places prompts at engines which read one after the other, exchanges loads as a
-/// large fleet does, and tells long prompts at once or doesn't.
+/// A fleet that places prompts at engines which read one after the other, exchanges loads at the
+/// intervals of a large fleet, and announces long prompts at once or not at all.
 class Fleet
 {
 public:
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the part of requests whose prompt was not read within the target.
+    /// Returns the fraction of requests whose prompt was not read within the target.
     double playLate(Duration time)
     {
         int late = 0;
@@ -114,7 +114,7 @@
         return static_cast<double>(late) / placed;
     }
 
-    /// Returns how many words were said once each VM knew what its longest prompts are.
+    /// Returns the number of announcements after each VM had observed how long its prompts are.
     int told() const { return m_told; }
 
 private:
@@ -143,7 +143,7 @@
     Duration nextGap() { return fromSeconds(-std::log(unitDraw()) / requestsPerSecond); }
     std::string nameOf(const Vm &vm) const { return std::to_string(&vm - m_vms.data()); }
 
-    /// A quarter are long digests of very different lengths, the others short.
+    /// A quarter are long digests of widely varying lengths, the others are short.
     std::int64_t drawTokens()
     {
         constexpr double partLong = 0.25;
@@ -193,7 +193,7 @@
         });
     }
 
-    /// Places a prompt and returns how long it waits until it has been read.
+    /// Places a prompt and returns the time until it has been read.
     Duration place(Vm &vm)
     {
         const std::int64_t tokens = drawTokens();
@@ -229,9 +229,9 @@
 
 } // namespace
 
-// Evening in a fleet of 80 VMs before 40 engines that are half busy. VMs hear of each other's loads
-// once in 1.75 s. A family's question is sent to an engine that looks idle and has just got two
-// digests of 50,000 tokens from other VMs; it waits for both.
+// A fleet of 80 VMs uses 40 engines that are half busy, and VMs exchange their loads every 1.75 s.
+// A short prompt is sent to an engine that looks idle but has just received two prompts of 50,000
+// tokens from other VMs; it waits for both.
 TEST_CASE("long prompts that are told at once leave fewer requests behind them")
 {
     Fleet silent(false);
--- a/tests/src/unit-prompt-reading.cpp
+++ b/tests/src/unit-prompt-reading.cpp
@@ -10,7 +10,7 @@
 const TimePoint start{1h};
 const ServiceId llm("llm");
 
-/// Notes prompts of 6,200 tokens that an engine of 62,000 a second reads.
+/// Records prompts of 6,200 tokens that an engine with 62,000 per second reads.
 void readAlone(PrefillEstimator &reading, int times)
 {
     for (int time = 0; time < times; ++time)
@@ -46,9 +46,9 @@
     }
     SECTION("is not lowered by the part of a wait that all prompts have")
     {
-        // Engines of 150,000 tokens a second answer an empty prompt after 30 ms. Of prompts of some
-        // thousand tokens, 86,000 a second show if all of the wait counts as reading, and twice
-        // as many engines as needed are ordered.
+        // Engines that read 150,000 tokens per second answer an empty prompt after 30 ms. For
+        // prompts of some thousand tokens the estimate is 86,000 per second if the whole delay
+        // counts as prefill, and twice as many engines as needed are ordered.
         for (int time = 0; time < 4; ++time) {
             for (const int tokens : {750, 1500, 3000, 6000, 12000})
                 reading.recordUncontended(tokens,
@@ -58,8 +58,8 @@
     }
     SECTION("is not raised by a short prompt that waited for a busy core")
     {
-        // Waits at VMs with an eighth of a core vary by as much as a prompt takes: some short ones
-        // took as long as long ones.
+        // On VMs with an eighth of a core, delays vary by as much as a prefill takes: some short
+        // prompts took as long as long ones.
         for (int time = 0; time < 5; ++time) {
             reading.recordUncontended(1000, time < 2 ? 110ms : 40ms);
             reading.recordUncontended(1500, 45ms);
--- a/tests/src/unit-upstream-feed.cpp
+++ b/tests/src/unit-upstream-feed.cpp
@@ -51,16 +51,16 @@
     }
     SECTION("is never replaced by an older one")
     {
-        // A peer that lags passes its list on. Taken, it would bring an upstream back that has
-        // left, and requests would go to whoever has its address by now.
+        // A peer that is behind forwards its list. If applied, it would restore an upstream that
+        // has left, and requests would go to whoever has its address by now.
         CHECK_FALSE(feed.replaceAll(listOf(9, {recordOf("gone")}), start));
         CHECK_FALSE(has(feed, "gone"));
     }
     SECTION("keeps entries that lapsed while the store was away until they had time to come back")
     {
-        // The store is away for five seconds; no upstream can write its heartbeat, and all entries
-        // lapse. When it returns the list is empty for a moment: every request would be refused
-        // though all upstreams live.
+        // The store is unavailable for five seconds; no upstream can write its heartbeat, and all
+        // entries expire. When it returns the list is empty for a moment: every request would be
+        // refused although all upstreams are alive.
         feed.onStoreUnavailable();
         REQUIRE(feed.replaceAll(listOf(20, {}), start + 6s));
         CHECK(has(feed, "a"));
@@ -117,7 +117,7 @@
     }
     SECTION("is passed over when the list is newer")
     {
-        // A follower has read the store itself; a reader's word of before must not take it back.
+        // A follower has read the store itself; an older update of a reader must not revert that.
         news.m_revision = 9;
         news.m_sinceRevision = 8;
         CHECK(feed.take(news, start + 2s, start + 2s) == UpstreamFeed::ApplyResult::Older);
@@ -145,8 +145,8 @@
 TEST_CASE("a follower is told what came and went between two readings")
 {
     // An engine joins and is lost within half a second. The follower read the store in between, the
-    // reader only before and after: told nothing of it, the follower would send requests to an
-    // address that nobody answers at, for good.
+    // reader only before and after. Without a removal in the reader's delta, the follower would
+    // permanently send requests to an address that nobody serves.
     UpstreamFeed reader;
     REQUIRE(reader.replaceAll(listOf(10, {recordOf("a")}), start));
     UpstreamFeed follower;
@@ -174,9 +174,9 @@
 
 TEST_CASE("a follower keeps what lapsed around an outage no longer than its reader does")
 {
-    // The store was away; an engine's entry lapses and is kept for two seconds, should it come
-    // back. The reader tells of it and ends. The follower kept the entry for good, and went on
-    // sending requests to an engine that was gone.
+    // The store was unavailable; an engine's entry expires and is retained for two seconds. The
+    // reader sends it as present and ends. The follower kept the entry permanently, and continued
+    // to send requests to an engine that was gone.
     UpstreamFeed reader;
     REQUIRE(reader.replaceAll(listOf(10, {recordOf("a")}), start));
     reader.onStoreUnavailable();
@@ -203,10 +203,10 @@
     CHECK_FALSE(has(follower, "a"));
 }
 
-// The store drops its history and cuts the watches, which takes a second; it serves all the while,
-// and every upstream writes. An upstream that says nothing before it leaves is removed meanwhile.
-// Taken for one that lapsed in an outage, it was kept for two seconds, and got requests 3.1 s after
-// its removal, where 3 s are allowed.
+// The store compacts its history and closes the watches, which takes a second; it serves all the
+// time, and every upstream writes. An upstream that leaves without a notice is removed meanwhile.
+// Mistaken for one that expired in an outage, it was retained for two seconds, and received
+// requests 3.1 s after its removal, where 3 s are permitted.
 TEST_CASE("an entry that is removed while a reading fails is not kept")
 {
     UpstreamFeed feed;
@@ -235,9 +235,9 @@
     CHECK(has(feed, "b"));
 }
 
-// The store turns one reader away for five seconds and serves all others. When it serves the reader
-// again, its followers, who were told by the other reader all the while, took its return for the
-// store's and kept what was removed after it for two seconds.
+// The store refuses one reader for five seconds and serves all others. When it serves the reader
+// again, its followers, which received updates of the other reader all the time, mistook its return
+// for the store's and retained for two seconds what was removed after it.
 TEST_CASE("a follower that was told all the while keeps nothing for a reader's return")
 {
     UpstreamFeed reader;
@@ -253,9 +253,9 @@
     CHECK_FALSE(has(follower, "a"));
 }
 
-// The store turns a VM away and a peer hands it its list. The peer keeps an engine that vanished
-// around the outage. The VM couldn't tell, and used the engine until it read the whole list: 3.4 s
-// after the entry had gone it still placed a request there.
+// The store refuses a VM, and a peer sends it its list, including an engine that vanished around
+// the outage and is retained. The VM couldn't tell, and used the engine until it read the full
+// list: 3.4 s after the entry had gone it still placed a request there.
 TEST_CASE("a list for another VM leaves out what is only kept for its return")
 {
     UpstreamFeed peer;
@@ -269,8 +269,8 @@
 
 TEST_CASE("an entry that came back stays")
 {
-    // The history was forgotten during an outage, so that the list is read whole: an entry that had
-    // lapsed and is in it again was dropped all the same when its time was over.
+    // The history was compacted during an outage, so that the full list is read. An entry that had
+    // expired and is in the list again was nevertheless removed when its retention expired.
     UpstreamFeed feed;
     REQUIRE(feed.replaceAll(listOf(10, {recordOf("a")}), start));
     feed.onStoreUnavailable();
@@ -296,9 +296,9 @@
 
 } // namespace
 
-// An engine crashes and starts again under its name. A VM that lags passes on what the engine had
-// said before. Taken, requests would be placed by what the process before held, and a notice to
-// leave that bound only that one would take the new one out of use.
+// An engine crashes and restarts under its id. A VM that is behind forwards the engine's earlier
+// entry. If applied, requests would be placed by the former process's state, and a leaving notice
+// for that process would take the new one out of use.
 TEST_CASE("an entry of an earlier start never replaces that of a later one")
 {
     UpstreamFeed feed;
@@ -338,8 +338,8 @@
     }
 }
 
-// Another writer spoils an engine's entry. Requests went on to where the entry had pointed,
-// although nobody knew whether that still was the engine.
+// Another writer overwrites an engine's entry. Requests continued to the address of the former
+// entry, although nobody knew whether it still belonged to the engine.
 TEST_CASE("an entry that can't be read takes its upstream out of use")
 {
     UpstreamFeed feed;
--- a/tests/src/unit-upstream-history.cpp
+++ b/tests/src/unit-upstream-history.cpp
@@ -35,7 +35,8 @@
     }
     SECTION("forgets upstreams that left long ago, and says so")
     {
-        // Reclaimable engines come and go all day under new ids: what is kept of them is bounded.
+        // Reclaimable engines come and go all day under new ids; the records kept of them are
+        // bounded.
         for (int number = 0; number < 3000; ++number)
             history.noteGone(UpstreamId(std::to_string(number)));
         CHECK_FALSE(history.since(before));
--- a/tests/src/unit-upstream-pool.cpp
+++ b/tests/src/unit-upstream-pool.cpp
@@ -48,7 +48,8 @@
 
 } // namespace
 
-// Guards against requests to upstreams that left while this VM alone had lost the store.
+// Guards against requests to upstreams that left while only this VM had lost contact with the
+// store.
 TEST_CASE("upstreams that are kept for their return are placed by while half of them are missing")
 {
     const auto kept = [](const std::string &id) {
@@ -133,8 +134,8 @@
     }
     SECTION("avoids an upstream that went silent, and comes back to it")
     {
-        // A runner crashes without a word: connections to it hang until they time out, and each
-        // request that is sent there loses its time. Two failures in a row are enough.
+        // A runner crashes without a notice: connections to it hang until they time out, and each
+        // request that is sent there loses its time. Two failures in a row suffice.
         UpstreamPool::note(a1, AttemptResult::Broken, start);
         UpstreamPool::note(a1, AttemptResult::Broken, start);
         a2.m_own.m_running = 1;
@@ -160,7 +161,7 @@
 
 namespace {
 
-/// How often each upstream is chosen in a thousand draws.
+/// Counts the selections of each upstream in a thousand draws.
 std::map<std::string, int> drawnTimes(const UpstreamPool &pool, PlacementRequest request)
 {
     std::map<std::string, int> times;
@@ -175,9 +176,9 @@
 
 } // namespace
 
-// In a fleet of 65 VMs a report of a peer's load is up to 1.5 s old. All VMs sent their orders to
-// the one upstream that had looked idle, its queue filled while two others had free slots, and
-// buyers waited or were refused.
+// In a fleet of 65 VMs a report of a peer's load is up to 1.5 s old. All VMs sent their requests to
+// the one upstream that had looked idle; its queue filled while two others had free slots, and
+// callers waited or were refused.
 TEST_CASE("old reports don't send every VM to one upstream")
 {
     UpstreamPool pool;
@@ -189,7 +190,7 @@
 
     pool.setExchangeStretch(2);
     std::map<std::string, int> times = drawnTimes(pool, plain);
-    // 1 to 1/4.5 to 1/18 by load and way.
+    // 1 to 1/4.5 to 1/18 by load and data centre.
     CHECK(times["a1"] == Approx(783).margin(50));
     CHECK(times["b1"] == Approx(174).margin(50));
     CHECK(times["c1"] == Approx(43).margin(25));
@@ -219,7 +220,7 @@
         upstream->m_peerTotal.m_running = id.text() == "a3" ? 2 : 8;
     PlacementRequest request = requestFrom("a");
     std::map<std::string, int> times = drawnTimes(pool, request);
-    // Two of ten are drawn at home; the idle one is taken when it is among them.
+    // Two of ten are drawn in the own data centre; the idle one is selected when it is among them.
     CHECK(times["a3"] == Approx(200).margin(50));
     CHECK(times["a4"] < 150);
 
@@ -241,9 +242,9 @@
     }
 }
 
-// An engine crashes while a draft runs there, and starts again under its name. The VM that placed
-// the draft must not count it as load of the new process, avoid that for the failures of the one
-// before, or believe a peer that still reports load for the one before.
+// An engine crashes while a request runs there, and restarts under its id. The VM that placed the
+// request must not count it as load of the new process, avoid that one for the former one's
+// failures, or use a peer's report of load on the former one.
 TEST_CASE("an upstream that started again is a new one")
 {
     UpstreamPool pool;
@@ -295,7 +296,7 @@
 
 TEST_CASE("who holds an upstream is told when it leaves")
 {
-    // What was under way to an upstream went on as if it stayed.
+    // Requests in progress at an upstream continued as if it stayed.
     UpstreamPool pool;
     UpstreamRecord ready = recordOf("a1", "a");
     ready.m_startedAt = 500;
@@ -356,7 +357,8 @@
 
 namespace {
 
-/// A prompt without shared parts, at engines that read 36,000 tokens within the pause of a stream.
+/// A prompt without shared parts, at engines that read 36,000 tokens within the permitted pause of
+/// a stream.
 PlacementRequest promptOf(std::int64_t tokens)
 {
     PlacementRequest request = requestFrom("a");
@@ -367,8 +369,8 @@
 
 } // namespace
 
-// A resident reads an answer on an engine; a digest of 60,000 tokens comes to the same one, as it
-// has the fewest requests, and the answer stands still for a second while the digest is read.
+// A caller receives an answer from an engine. A prompt of 60,000 tokens is sent to the same engine,
+// as it has the fewest requests, and the answer pauses for a second while the prompt is read.
 // Another engine has no streams.
 TEST_CASE("a long prompt goes where no stream waits for it")
 {
@@ -396,8 +398,9 @@
     }
 }
 
-// Two VMs each get a long digest within a quarter of a second, the time between two exchanges. Both
-// saw the same engine idle, both sent theirs there, and the second resident waited for both.
+// Two VMs each receive a long prompt within a quarter of a second, the time between two exchanges.
+// Both saw the same engine idle and sent their prompts there, and the second caller waited for
+// both.
 TEST_CASE("a long prompt that is told at once keeps the next one away")
 {
     const auto engines = upstreamsOf({recordOf("a1", "a"), recordOf("a2", "a")});
@@ -420,10 +423,10 @@
     }
 }
 
-// In a fleet of 80 VMs a report of a prompt that waits at an engine is up to 1.8 s old; the engine
-// read it within a quarter of a second and stood idle, and all VMs went past it to engines that
-// were busy by then. Of a fleet's requests one in seven came late while two engines in three had
-// nothing to read.
+// In a fleet of 80 VMs a report of a prompt that waits at an engine is up to 1.8 s old. The engine
+// read it within a quarter of a second and was then idle, while all VMs avoided it in favour of
+// engines that were busy by then. One in seven requests of the fleet was late while two in three
+// engines were idle.
 TEST_CASE("what others had to read counts less the longer ago they said so")
 {
     UpstreamPool pool;
--- a/tests/src/unit-usage-windows.cpp
+++ b/tests/src/unit-usage-windows.cpp
@@ -17,11 +17,12 @@
 constexpr WindowNumber window = 100;
 constexpr WallMillis end = 505000;
 
-/// A holder, what it heard, and the store's object.
+/// A holder, its received counts, and the stored object.
 class Holder
 {
 public:
-    /// Acts at a moment, as long after the slowest VM's word as given. Returns whether it wrote.
+    /// Acts at a moment, with the slowest VM's last report as old as given. Returns whether it
+    /// wrote.
     bool act(WallMillis now, WallMillis silence)
     {
         const auto next =
@@ -106,8 +107,8 @@
     }
 }
 
-// A VM was replaced, so that each window waited for its word. All VMs were then killed: the counts
-// of a window that had been over for three seconds were in no process any more, and it was never
+// A VM was replaced, so that each window waited for its report. All VMs were then killed: no
+// process had the counts of a window that had ended three seconds earlier, and it was never
 // reported.
 TEST_CASE("a usage window that waits for a silent VM is noted")
 {
