--- a/include/gypsumdale/serving/fleet_quota.hpp
+++ b/include/gypsumdale/serving/fleet_quota.hpp
@@ -122,7 +122,7 @@
     };
     struct Peer
     {
-        std::map<AccountId, ReportedUsage> m_uses;
+        std::map<AccountId, ReportedUsage> m_usage;
         TimePoint m_lastReportAt{};
     };
     /// The fleet as this VM sees it.
--- a/include/gypsumdale/serving/follower_state.hpp
+++ b/include/gypsumdale/serving/follower_state.hpp
@@ -16,7 +16,7 @@
 
     /// Records that the follower applied an update. Without its answer, the same update is sent
     /// again: applying it twice changes nothing.
-    void onApplied(const UpstreamListUpdate &news);
+    void onApplied(const UpstreamListUpdate &update);
     /// Records that the follower misses more than the update contained.
     void onMissingChanges() { m_isKnown = false; }
 
--- a/include/gypsumdale/serving/upstream_feed.hpp
+++ b/include/gypsumdale/serving/upstream_feed.hpp
@@ -87,7 +87,7 @@
     };
     /// Applies an update from a VM that reads the store, as if it had been read here. Complexity:
     /// linear in the changes, or in the list if the update is a full list.
-    ApplyResult take(const UpstreamListUpdate &news, TimePoint confirmedAt, TimePoint now);
+    ApplyResult take(const UpstreamListUpdate &update, TimePoint confirmedAt, TimePoint now);
 
     /// Records that the store did not answer.
     void onStoreUnavailable() { m_isStoreUnavailable = true; }
--- a/include/gypsumdale/serving/upstream_pool.hpp
+++ b/include/gypsumdale/serving/upstream_pool.hpp
@@ -149,9 +149,9 @@
     /// Returns whether retained upstreams, whose entries vanished, are selected: as long as at
     /// least half of a service's upstreams are missing. Where fewer are, the store was only
     /// unreachable from this VM, and the missing ones have left. Complexity: constant.
-    static constexpr bool usesRetained(std::size_t kept, std::size_t all)
+    static constexpr bool usesRetained(std::size_t retained, std::size_t all)
     {
-        return 2 * kept >= all;
+        return 2 * retained >= all;
     }
 
     /// Returns the fewest prompt tokens that wait at one engine, over all data centres, or nothing
--- a/src/serving/fleet_quota.cpp
+++ b/src/serving/fleet_quota.cpp
@@ -67,11 +67,11 @@
     const auto [entry, isNew] = m_peers.try_emplace(node);
     Peer &peer = entry->second;
     const Duration silence = now - std::exchange(peer.m_lastReportAt, now);
-    const std::map<AccountId, ReportedUsage> before = std::exchange(peer.m_uses, std::move(uses));
+    const std::map<AccountId, ReportedUsage> before = std::exchange(peer.m_usage, std::move(uses));
     if (isNew)
         return;
     const double reservedSeconds = toSeconds(std::max(silence - silenceLimit(), Duration::zero()));
-    for (const auto &[account, use] : peer.m_uses) {
+    for (const auto &[account, use] : peer.m_usage) {
         const auto known = before.find(account);
         const double earlier = known == before.end() ? 0 : known->second.m_admittedTotal;
         // A restarted VM counts from zero.
@@ -116,9 +116,9 @@
 {
     double demand = 0;
     for (const auto &[node, peer] : m_peers) {
-        const auto found = peer.m_uses.find(account);
+        const auto found = peer.m_usage.find(account);
         const bool isReachable = now - peer.m_lastReportAt <= silenceLimit();
-        if (isReachable && found != peer.m_uses.end())
+        if (isReachable && found != peer.m_usage.end())
             demand += found->second.m_demandPerSecond;
     }
     return demand;
--- a/src/serving/follower_state.cpp
+++ b/src/serving/follower_state.cpp
@@ -17,36 +17,36 @@
 UpstreamListUpdate FollowerState::updateFor(const UpstreamFeed &list, TimePoint now) const
 {
     const auto &upstreams = list.upstreams();
-    UpstreamListUpdate news;
-    news.m_revision = list.revision();
-    news.m_newestChange = list.history().newest();
+    UpstreamListUpdate update;
+    update.m_revision = list.revision();
+    update.m_newestChange = list.history().newest();
     if (list.storeReturnedAt() != TimePoint{})
-        news.m_storeReturnedAgo = now - list.storeReturnedAt();
+        update.m_storeReturnedAgo = now - list.storeReturnedAt();
     const auto differences = m_isKnown ? list.history().since(m_changeNumber) : std::nullopt;
     if (!differences) {
         for (const auto &[id, record] : upstreams) {
             if (!list.isRetained(id))
-                news.m_changes.push_back({record, UpstreamChangeKind::Present});
+                update.m_changes.push_back({record, UpstreamChangeKind::Present});
         }
         for (const UpstreamId &id : list.unusable())
-            news.m_changes.push_back(absentEntry(id, UpstreamChangeKind::Unusable));
-        return news;
+            update.m_changes.push_back(absentEntry(id, UpstreamChangeKind::Unusable));
+        return update;
     }
-    news.m_sinceRevision = m_revision;
+    update.m_sinceRevision = m_revision;
     for (const UpstreamId &id : differences->m_changed)
-        news.m_changes.push_back({upstreams.at(id), UpstreamChangeKind::Present});
+        update.m_changes.push_back({upstreams.at(id), UpstreamChangeKind::Present});
     for (const UpstreamId &id : differences->m_gone) {
         const bool isUnusable = list.unusable().contains(id);
-        news.m_changes.push_back(absentEntry(id, isUnusable ? UpstreamChangeKind::Unusable
-                                                            : UpstreamChangeKind::Removed));
+        update.m_changes.push_back(absentEntry(id, isUnusable ? UpstreamChangeKind::Unusable
+                                                              : UpstreamChangeKind::Removed));
     }
-    return news;
+    return update;
 }
 
-void FollowerState::onApplied(const UpstreamListUpdate &news)
+void FollowerState::onApplied(const UpstreamListUpdate &update)
 {
-    m_changeNumber = news.m_newestChange;
-    m_revision = news.m_revision;
+    m_changeNumber = update.m_newestChange;
+    m_revision = update.m_revision;
     m_isKnown = true;
 }
 
--- a/src/serving/prefill_estimator.cpp
+++ b/src/serving/prefill_estimator.cpp
@@ -83,11 +83,11 @@
 {
     if (m_samples.size() < minSpeeds)
         return 0;
-    const double whole = quantileOf(totalDelaySpeeds(m_samples), speedQuantile);
+    const double totalDelaySpeed = quantileOf(totalDelaySpeeds(m_samples), speedQuantile);
     std::vector<double> beyond = speedsBeyondQuickest(m_samples);
     if (beyond.size() < minSpeeds)
-        return whole;
-    return std::max(whole, quantileOf(std::move(beyond), speedQuantile));
+        return totalDelaySpeed;
+    return std::max(totalDelaySpeed, quantileOf(std::move(beyond), speedQuantile));
 }
 
 PrefillRate PrefillEstimator::rate(TimePoint now)
--- a/src/serving/upstream_feed.cpp
+++ b/src/serving/upstream_feed.cpp
@@ -154,26 +154,26 @@
     }
 }
 
-UpstreamFeed::ApplyResult UpstreamFeed::take(const UpstreamListUpdate &news, TimePoint confirmedAt,
-                                             TimePoint now)
+UpstreamFeed::ApplyResult UpstreamFeed::take(const UpstreamListUpdate &update,
+                                             TimePoint confirmedAt, TimePoint now)
 {
-    const bool isFullList = !news.m_sinceRevision;
-    if (!isFullList && (!isKnown() || m_list.m_revision < *news.m_sinceRevision))
+    const bool isFullList = !update.m_sinceRevision;
+    if (!isFullList && (!isKnown() || m_list.m_revision < *update.m_sinceRevision))
         return ApplyResult::ChangesMissing;
     // Changes up to an older revision are already included in this list.
-    if (news.m_revision < m_list.m_revision)
+    if (update.m_revision < m_list.m_revision)
         return ApplyResult::Older;
-    if (news.m_storeReturnedAgo && (!isKnown() || mayHaveExpired(confirmedAt)))
-        m_returnedAt = std::max(m_returnedAt, now - *news.m_storeReturnedAgo);
+    if (update.m_storeReturnedAgo && (!isKnown() || mayHaveExpired(confirmedAt)))
+        m_returnedAt = std::max(m_returnedAt, now - *update.m_storeReturnedAgo);
     // Applying the same revision again would record it as an update for its own sender.
-    const bool isAlreadyApplied = isKnown() && news.m_revision == m_list.m_revision;
+    const bool isAlreadyApplied = isKnown() && update.m_revision == m_list.m_revision;
     if (isAlreadyApplied) {
         m_confirmedAt = std::max(m_confirmedAt, confirmedAt);
         return ApplyResult::Taken;
     }
     if (isFullList) {
         UpstreamList list;
-        for (const UpstreamChange &change : news.m_changes) {
+        for (const UpstreamChange &change : update.m_changes) {
             if (change.m_kind == UpstreamChangeKind::Present)
                 list.m_upstreams.emplace(change.m_record.m_id, change.m_record);
             else if (change.m_kind == UpstreamChangeKind::Unusable)
@@ -181,9 +181,9 @@
         }
         replaceList(std::move(list), now);
     } else {
-        applyEach(news.m_changes, now);
+        applyEach(update.m_changes, now);
     }
-    m_list.m_revision = news.m_revision;
+    m_list.m_revision = update.m_revision;
     m_confirmedAt = std::max(m_confirmedAt, confirmedAt);
     return ApplyResult::Taken;
 }
--- a/src/serving/upstream_pool.cpp
+++ b/src/serving/upstream_pool.cpp
@@ -128,8 +128,9 @@
         const bool isHome = candidate.get() == home;
         if (!isHome)
             cost += rereadCost * static_cast<double>(request.m_sharedTokens);
-        const std::int64_t kept = isHome ? request.m_sharedTokens : 0;
-        cost += pauseCost(*candidate, static_cast<double>(request.m_promptTokens - kept), context);
+        const std::int64_t cachedTokens = isHome ? request.m_sharedTokens : 0;
+        cost += pauseCost(*candidate, static_cast<double>(request.m_promptTokens - cachedTokens),
+                          context);
         if (candidate->m_record.m_dataCentre != request.m_dataCentre)
             cost += remoteCost;
         if (candidate->m_avoidUntil > context.m_now)
@@ -388,14 +389,14 @@
 UpstreamPool::Candidates UpstreamPool::candidatesFor(const PlacementRequest &request) const
 {
     Candidates candidates;
-    std::size_t kept = 0;
+    std::size_t retained = 0;
     for (const auto &[id, pooled] : m_upstreams) {
         if (!isCandidate(*pooled, request))
             continue;
         candidates.push_back(pooled);
-        kept += pooled->m_record.m_isRetained ? 1 : 0;
+        retained += pooled->m_record.m_isRetained ? 1 : 0;
     }
-    if (!usesRetained(kept, candidates.size())) {
+    if (!usesRetained(retained, candidates.size())) {
         std::erase_if(candidates, [](const PooledUpstreamPointer &candidate) {
             return candidate->m_record.m_isRetained;
         });
