--- a/src/serving/upstream_pool.cpp
+++ b/src/serving/upstream_pool.cpp
@@ -13,45 +13,46 @@
 
 namespace {
 
-/// What a running request slows the next one by, as prompt tokens that take as long to read.
+/// Delay that a running request adds for the next one, as prompt tokens with the same prefill time.
 constexpr double runningCostTokens = 400;
-/// What reading a shared token again costs, in tokens of queueing that are put up with instead: it
-/// is priced beside the time it takes.
-constexpr double readAgainCost = 3;
-/// What leaving the own data centre costs, as prompt tokens: a part for the way, and a part for the
-/// bytes, which are paid for between data centres.
-constexpr double awayCostTokens = 500;
-constexpr double awayCostPerByte = 0.25;
-/// A plain service's request stays at home unless its upstreams there are busy.
-constexpr double plainAwayCost = 6000;
-/// A plain service's request counts as this; its upstreams have few slots.
+/// Cost of reading a shared token again, as tokens of queueing that are accepted to avoid it: it is
+/// paid for in addition to the time it takes.
+constexpr double rereadCost = 3;
+/// Cost of leaving the own data centre, as prompt tokens: a constant for the latency, and a part
+/// per byte, as traffic between data centres is paid for.
+constexpr double remoteCostTokens = 500;
+constexpr double remoteCostPerByte = 0.25;
+/// A plain service's request stays in its data centre unless its upstreams there are busy.
+constexpr double plainRemoteCost = 6000;
+/// Cost of a plain service's running request; its upstreams have few slots.
 constexpr double plainRunningCost = 4000;
-/// Engines compared beside the home while reports are old: two choices are known to spread load
-/// nearly as well as all of them would, and a third looks outside.
-constexpr std::size_t drawnNear = 2;
-constexpr std::size_t drawnInAll = 3;
-/// More of them for a prompt that peers hear of at once: the engine with the fewest streams makes
-/// them wait least, and no other VM sends its long prompt there too.
-constexpr std::size_t drawnNearIfTold = 8;
-constexpr std::size_t drawnInAllIfTold = 12;
-/// A plain service's upstream elsewhere is drawn this much more rarely, for the way and the bytes.
-constexpr double drawnAwayFactor = 1.5;
-/// Keeps an upstream that failed out of reach while another is there.
+/// Number of engines compared in addition to the home while reports are old. Two random choices are
+/// known to balance load nearly as well as comparing all; a third one covers other data centres.
+constexpr std::size_t localSampleSize = 2;
+constexpr std::size_t sampleSize = 3;
+/// Numbers for a prompt that is announced to peers at once: the engine with the fewest streams
+/// delays them least, and no other VM sends its long prompt there too.
+constexpr std::size_t announcedLocalSampleSize = 8;
+constexpr std::size_t announcedSampleSize = 12;
+/// Factor by which a plain service's upstream in another data centre is less likely to be drawn,
+/// because of latency and paid traffic.
+constexpr double remoteDrawFactor = 1.5;
+/// Cost that rules out an upstream that failed while another is available.
 constexpr double avoidedCost = 1e9;
 
 /// Weight of one result in the moving average of failures: about the last ten count.
 constexpr double failureWeight = 0.1;
-/// Share of failures at which an upstream is avoided. A plain service fails one request in seven by
-/// itself, so the limit lies well above.
+/// Failure rate from which an upstream is avoided. A plain service itself fails one request in
+/// seven, so the limit is well above that.
 constexpr double failureLimit = 0.35;
 constexpr int failuresInRowLimit = 2;
-constexpr Duration shortestAvoid = std::chrono::milliseconds(500);
-constexpr Duration longestAvoid = std::chrono::seconds(4);
+constexpr Duration minAvoidTime = std::chrono::milliseconds(500);
+constexpr Duration maxAvoidTime = std::chrono::seconds(4);
 
-/// Finds the upstream that holds an affinity key: one over all data centres, as a shared part that
-/// is read again in each of them costs more than the bytes of a request that goes there.
-const PooledUpstream *homeOf(const std::string &key,
-                             const std::vector<PooledUpstreamPointer> &candidates, TimePoint now)
+/// Returns the upstream that owns an affinity key: one over all data centres, as reading a shared
+/// part again in each of them costs more than the bytes of a request that is sent there.
+const PooledUpstream *findHome(const std::string &key,
+                               const std::vector<PooledUpstreamPointer> &candidates, TimePoint now)
 {
     const PooledUpstream *home = nullptr;
     std::uint64_t best = 0;
@@ -74,8 +75,8 @@
            && !request.m_excluded.contains(record.m_id);
 }
 
-/// One choice among engines.
-struct Comparison
+/// Inputs of one selection among engines.
+struct SelectionContext
 {
     const PlacementRequest &m_request;
     bool m_areReportsOld = false;
@@ -83,7 +84,7 @@
 
     bool isPlain() const { return m_request.m_promptTokens == 0; }
 
-    /// Returns the prompt tokens that are still to be read at an engine, as far as is known.
+    /// Returns the known prompt tokens that are still to be read at an engine.
     double pendingTokens(const PooledUpstream &upstream) const
     {
         if (!m_areReportsOld || m_request.m_readingSpeed <= 0)
@@ -92,46 +93,47 @@
     }
 };
 
-double loadCost(const PooledUpstream &upstream, const Comparison &comparison)
+double loadCost(const PooledUpstream &upstream, const SelectionContext &context)
 {
     const double running = upstream.running();
-    if (comparison.isPlain())
+    if (context.isPlain())
         return running * plainRunningCost;
-    return running * runningCostTokens + comparison.pendingTokens(upstream);
+    return running * runningCostTokens + context.pendingTokens(upstream);
 }
 
-/// Returns what a prompt costs the streams beside it. An engine reads prompts in pieces between the
-/// events of its streams, and a long prompt, or several in a row, makes a pause in all of them.
-/// Tokens beyond what a pause may hold count once for each stream that waits.
-double pauseCost(const PooledUpstream &upstream, double ownTokens, const Comparison &comparison)
+/// Returns a prompt's cost for an engine's other streams. An engine reads prompts in pieces between
+/// the events of its streams, and a long prompt, or several in a row, causes a pause in all of
+/// them. Tokens beyond the permitted pause count once for each stream that waits.
+double pauseCost(const PooledUpstream &upstream, double ownTokens, const SelectionContext &context)
 {
-    const double pauseTokens = comparison.m_request.m_maxPauseTokens;
+    const double pauseTokens = context.m_request.m_maxPauseTokens;
     if (pauseTokens <= 0)
         return 0;
-    const double beyond = comparison.pendingTokens(upstream) + ownTokens - pauseTokens;
+    const double beyond = context.pendingTokens(upstream) + ownTokens - pauseTokens;
     return upstream.running() * std::clamp(beyond, 0.0, ownTokens);
 }
 
-PooledUpstreamPointer cheapestOf(const std::vector<PooledUpstreamPointer> &candidates,
-                                 const PooledUpstream *home, const Comparison &comparison)
+PooledUpstreamPointer selectCheapest(const std::vector<PooledUpstreamPointer> &candidates,
+                                     const PooledUpstream *home, const SelectionContext &context)
 {
-    const PlacementRequest &request = comparison.m_request;
-    const bool isPlain = comparison.isPlain();
+    const PlacementRequest &request = context.m_request;
+    const bool isPlain = context.isPlain();
     const double bytes = static_cast<double>(request.m_bodyBytes);
-    const double awayCost = isPlain ? plainAwayCost : awayCostTokens + awayCostPerByte * bytes;
+    const double remoteCost =
+            isPlain ? plainRemoteCost : remoteCostTokens + remoteCostPerByte * bytes;
     PooledUpstreamPointer best;
     double bestCost = std::numeric_limits<double>::max();
     for (const PooledUpstreamPointer &candidate : candidates) {
-        double cost = loadCost(*candidate, comparison);
+        double cost = loadCost(*candidate, context);
         const bool isHome = candidate.get() == home;
         if (!isHome)
-            cost += readAgainCost * static_cast<double>(request.m_sharedTokens);
-        const std::int64_t kept = isHome ? request.m_sharedTokens : 0;
-        cost += pauseCost(*candidate, static_cast<double>(request.m_promptTokens - kept),
-                          comparison);
+            cost += rereadCost * static_cast<double>(request.m_sharedTokens);
+        const std::int64_t cachedTokens = isHome ? request.m_sharedTokens : 0;
+        cost += pauseCost(*candidate, static_cast<double>(request.m_promptTokens - cachedTokens),
+                          context);
         if (candidate->m_record.m_dataCentre != request.m_dataCentre)
-            cost += awayCost;
-        if (candidate->m_avoidUntil > comparison.m_now)
+            cost += remoteCost;
+        if (candidate->m_avoidUntil > context.m_now)
             cost += avoidedCost;
         if (cost < bestCost) {
             best = candidate;
@@ -141,8 +143,8 @@
     return best;
 }
 
-/// Returns a number above 0 and up to 1 that is an upstream's alone for this request.
-double drawOf(const PooledUpstream &upstream, const PlacementRequest &request)
+/// Returns a number above 0 and up to 1 that is specific to the upstream and the request.
+double drawFor(const PooledUpstream &upstream, const PlacementRequest &request)
 {
     const std::string &id = upstream.m_record.m_id.text();
     const auto drawn = XXH3_64bits_withSeed(id.data(), id.size(), request.m_draw);
@@ -150,8 +152,8 @@
     return (static_cast<double>(drawn) + 1) / range;
 }
 
-/// Draws an upstream of a plain service: each gets its part by one over its load, so that what the
-/// reports say counts, but no upstream is taken by all VMs at once.
+/// Draws an upstream of a plain service with a probability inversely proportional to its load, so
+/// that reports count, but not all VMs select the same upstream at once.
 PooledUpstreamPointer drawByLoad(const std::vector<PooledUpstreamPointer> &candidates,
                                  const PlacementRequest &request, TimePoint now)
 {
@@ -159,10 +161,10 @@
     double least = std::numeric_limits<double>::max();
     for (const PooledUpstreamPointer &candidate : candidates) {
         const int running = candidate->running();
-        // The least of exponential draws falls on each in proportion to its rate.
-        double drawn = -std::log(drawOf(*candidate, request)) * (1 + std::max(0, running));
+        // The minimum of exponential draws falls on each upstream in proportion to its rate.
+        double drawn = -std::log(drawFor(*candidate, request)) * (1 + std::max(0, running));
         if (candidate->m_record.m_dataCentre != request.m_dataCentre)
-            drawn *= drawnAwayFactor;
+            drawn *= remoteDrawFactor;
         if (candidate->m_avoidUntil > now)
             drawn += avoidedCost;
         if (drawn < least) {
@@ -183,27 +185,27 @@
     }
 }
 
-/// Returns the home and a few engines that are drawn, more of them in the own data centre.
-std::vector<PooledUpstreamPointer> sampleOf(std::vector<PooledUpstreamPointer> candidates,
-                                            const PooledUpstream *home,
-                                            const PlacementRequest &request, TimePoint now)
+/// Returns the home and a few random engines, more of them in the own data centre.
+std::vector<PooledUpstreamPointer> sampleCandidates(std::vector<PooledUpstreamPointer> candidates,
+                                                    const PooledUpstream *home,
+                                                    const PlacementRequest &request, TimePoint now)
 {
-    std::multimap<double, PooledUpstreamPointer> near;
-    std::multimap<double, PooledUpstreamPointer> away;
+    std::multimap<double, PooledUpstreamPointer> local;
+    std::multimap<double, PooledUpstreamPointer> remote;
     std::vector<PooledUpstreamPointer> sample;
     for (PooledUpstreamPointer &candidate : candidates) {
         if (candidate.get() == home)
             sample.push_back(candidate);
-        const bool isNear = candidate->m_record.m_dataCentre == request.m_dataCentre;
+        const bool isLocal = candidate->m_record.m_dataCentre == request.m_dataCentre;
         const double avoided = candidate->m_avoidUntil > now ? avoidedCost : 0;
-        const double drawn = drawOf(*candidate, request) + avoided;
-        (isNear ? near : away).emplace(drawn, std::move(candidate));
+        const double drawn = drawFor(*candidate, request) + avoided;
+        (isLocal ? local : remote).emplace(drawn, std::move(candidate));
     }
-    const std::size_t fromNear =
-            std::min(near.size(), request.m_isAnnounced ? drawnNearIfTold : drawnNear);
-    const std::size_t inAll = request.m_isAnnounced ? drawnInAllIfTold : drawnInAll;
-    takeFirst(near, fromNear, sample);
-    takeFirst(away, inAll - fromNear, sample);
+    const std::size_t localCount = std::min(
+            local.size(), request.m_isAnnounced ? announcedLocalSampleSize : localSampleSize);
+    const std::size_t totalCount = request.m_isAnnounced ? announcedSampleSize : sampleSize;
+    takeFirst(local, localCount, sample);
+    takeFirst(remote, totalCount - localCount, sample);
     return sample;
 }
 
@@ -214,10 +216,10 @@
     // Engines read one prompt after the other.
     double unread = 0;
     TimePoint readUntil{};
-    for (const ReportedPrompts &told : m_peerPrompts) {
-        unread = std::max(0.0, unread - speed * toSeconds(told.m_at - readUntil));
-        unread += static_cast<double>(told.m_tokens);
-        readUntil = told.m_at;
+    for (const ReportedPrompts &report : m_peerPrompts) {
+        unread = std::max(0.0, unread - speed * toSeconds(report.m_at - readUntil));
+        unread += static_cast<double>(report.m_tokens);
+        readUntil = report.m_at;
     }
     unread = std::max(0.0, unread - speed * toSeconds(now - readUntil));
     return unread + static_cast<double>(m_own.m_pendingTokens);
@@ -230,19 +232,19 @@
     return upstream.m_isGone || upstream.m_record.m_isDraining;
 }
 
-/// Tells all who hold an upstream that it leaves or is gone.
-void tellOfLeaving(PooledUpstream &upstream)
+/// Notifies all holders of an upstream that it leaves or is gone.
+void notifyLeaving(PooledUpstream &upstream)
 {
-    // A listener may end its own listening.
+    // A listener may remove itself.
     const auto listeners = std::exchange(upstream.m_onLeaving, {});
     for (const auto &[holder, listener] : listeners)
         listener();
 }
 
-/// Notes whether an upstream leaves, after its state has changed. The entry of one that vanished
-/// may have been kept a while, so that when it went isn't known.
-void noteLeaving(PooledUpstream &upstream, bool wasLeaving,
-                 std::optional<TimePoint> lastConfirmedAt)
+/// Records whether an upstream leaves, after its state has changed. The entry of one that vanished
+/// may have been retained for a time, so the moment of its departure is unknown.
+void updateLeaving(PooledUpstream &upstream, bool wasLeaving,
+                   std::optional<TimePoint> lastConfirmedAt)
 {
     if (!isLeaving(upstream)) {
         upstream.m_notLeavingAt.reset();
@@ -252,7 +254,7 @@
         return;
     if (!upstream.m_isGone)
         upstream.m_notLeavingAt = lastConfirmedAt;
-    tellOfLeaving(upstream);
+    notifyLeaving(upstream);
 }
 
 } // namespace
@@ -268,7 +270,7 @@
         }
         const bool wasLeaving = isLeaving(*entry->second);
         entry->second->m_isGone = true;
-        noteLeaving(*entry->second, wasLeaving, lastConfirmedAt);
+        updateLeaving(*entry->second, wasLeaving, lastConfirmedAt);
         m_departed[entry->first] = entry->second;
         entry = m_upstreams.erase(entry);
     }
@@ -277,7 +279,7 @@
         const bool wasLeaving = isLeaving(*pooled);
         pooled->m_record = record;
         pooled->m_isGone = false;
-        noteLeaving(*pooled, wasLeaving, lastConfirmedAt);
+        updateLeaving(*pooled, wasLeaving, lastConfirmedAt);
         m_upstreams[id] = std::move(pooled);
     }
     std::erase_if(m_departed, [this](const auto &entry) {
@@ -288,13 +290,13 @@
 
 namespace {
 
-/// Tells all who hold a process of an upstream that another one has taken its name.
-void replace(PooledUpstream &upstream, std::int64_t startedAt)
+/// Notifies all holders of an upstream's process that another one has taken its id.
+void markReplaced(PooledUpstream &upstream, std::int64_t startedAt)
 {
     upstream.m_isGone = true;
     upstream.m_isReplaced = true;
-    tellOfLeaving(upstream);
-    // A listener may end its own listening.
+    notifyLeaving(upstream);
+    // A listener may remove itself.
     const auto listeners = std::exchange(upstream.m_onReplaced, {});
     for (const auto &[holder, listener] : listeners)
         listener(startedAt);
@@ -302,8 +304,8 @@
 
 } // namespace
 
-/// Returns the process that a record speaks of: the known one, one that had left and is still held,
-/// or a new one.
+/// Returns the process that a record describes: the known one, one that left and is still held, or
+/// a new one.
 PooledUpstreamPointer UpstreamPool::pooledFor(const UpstreamRecord &record)
 {
     PooledUpstreamPointer known;
@@ -314,7 +316,7 @@
     if (known && known->m_record.m_startedAt == record.m_startedAt)
         return known;
     if (known)
-        replace(*known, record.m_startedAt);
+        markReplaced(*known, record.m_startedAt);
     return std::make_shared<PooledUpstream>();
 }
 
@@ -324,7 +326,7 @@
     PeerLoad &peer = m_peerLoads[node];
     peer = PeerLoad{{}, now};
     for (const auto &[upstream, load] : loads)
-        peer.m_loads[upstream] = ToldLoad{load, now};
+        peer.m_loads[upstream] = ReportedLoad{load, now};
     sumPeerLoads();
 }
 
@@ -334,7 +336,7 @@
     const auto found = m_peerLoads.find(node);
     if (found == m_peerLoads.end())
         return;
-    found->second.m_loads[upstream] = ToldLoad{load, now};
+    found->second.m_loads[upstream] = ReportedLoad{load, now};
     sumPeerLoads();
 }
 
@@ -351,13 +353,14 @@
         pooled->m_peerPrompts.clear();
     }
     for (const auto &[node, peer] : m_peerLoads) {
-        for (const auto &[id, told] : peer.m_loads) {
+        for (const auto &[id, report] : peer.m_loads) {
             const auto found = m_upstreams.find(id);
-            // A peer that hasn't heard of a restart reports what ended with the old process.
+            // A peer that doesn't know of a restart yet reports requests that ended with the old
+            // process.
             if (found == m_upstreams.end()
-                || found->second->m_record.m_startedAt != told.m_load.m_startedAt)
+                || found->second->m_record.m_startedAt != report.m_load.m_startedAt)
                 continue;
-            addPeerLoad(*found->second, told);
+            addPeerLoad(*found->second, report);
         }
     }
     const auto isEarlier = [](const ReportedPrompts &left, const ReportedPrompts &right) {
@@ -367,33 +370,33 @@
         std::sort(pooled->m_peerPrompts.begin(), pooled->m_peerPrompts.end(), isEarlier);
 }
 
-void UpstreamPool::addPeerLoad(PooledUpstream &upstream, const ToldLoad &told)
+void UpstreamPool::addPeerLoad(PooledUpstream &upstream, const ReportedLoad &report)
 {
-    upstream.m_peerTotal.m_running += told.m_load.m_running;
-    upstream.m_peerTotal.m_pendingTokens += told.m_load.m_pendingTokens;
-    if (told.m_load.m_pendingTokens > 0)
-        upstream.m_peerPrompts.push_back({told.m_at, told.m_load.m_pendingTokens});
+    upstream.m_peerTotal.m_running += report.m_load.m_running;
+    upstream.m_peerTotal.m_pendingTokens += report.m_load.m_pendingTokens;
+    if (report.m_load.m_pendingTokens > 0)
+        upstream.m_peerPrompts.push_back({report.m_at, report.m_load.m_pendingTokens});
 }
 
 Duration UpstreamPool::reportAge(TimePoint now) const
 {
     Duration oldest{};
     for (const auto &[node, peer] : m_peerLoads)
-        oldest = std::max(oldest, now - peer.m_heardAt);
+        oldest = std::max(oldest, now - peer.m_receivedAt);
     return oldest;
 }
 
 UpstreamPool::Candidates UpstreamPool::candidatesFor(const PlacementRequest &request) const
 {
     Candidates candidates;
-    std::size_t kept = 0;
+    std::size_t retained = 0;
     for (const auto &[id, pooled] : m_upstreams) {
         if (!isCandidate(*pooled, request))
             continue;
         candidates.push_back(pooled);
-        kept += pooled->m_record.m_isRetained ? 1 : 0;
+        retained += pooled->m_record.m_isRetained ? 1 : 0;
     }
-    if (!usesRetained(kept, candidates.size())) {
+    if (!usesRetained(retained, candidates.size())) {
         std::erase_if(candidates, [](const PooledUpstreamPointer &candidate) {
             return candidate->m_record.m_isRetained;
         });
@@ -409,10 +412,10 @@
         return drawByLoad(candidates, request, now);
     const PooledUpstream *home = nullptr;
     if (!request.m_affinityKey.empty())
-        home = homeOf(request.m_affinityKey, candidates, now);
+        home = findHome(request.m_affinityKey, candidates, now);
     if (m_areReportsOld)
-        candidates = sampleOf(std::move(candidates), home, request, now);
-    return cheapestOf(candidates, home, Comparison{request, m_areReportsOld, now});
+        candidates = sampleCandidates(std::move(candidates), home, request, now);
+    return selectCheapest(candidates, home, SelectionContext{request, m_areReportsOld, now});
 }
 
 std::optional<std::int64_t> UpstreamPool::minPendingTokens(const PlacementRequest &request,
@@ -438,7 +441,7 @@
         return;
     }
     if (verdict == AttemptResult::Refused) {
-        upstream.m_avoidUntil = std::max(upstream.m_avoidUntil, now + shortestAvoid / 5);
+        upstream.m_avoidUntil = std::max(upstream.m_avoidUntil, now + minAvoidTime / 5);
         return;
     }
     ++upstream.m_failuresInRow;
@@ -447,7 +450,7 @@
     if (!isBroken && upstream.m_failureShare < failureLimit)
         return;
     const int doublings = std::clamp(upstream.m_failuresInRow - failuresInRowLimit, 0, 3);
-    const Duration avoid = std::min(shortestAvoid * (1 << doublings), longestAvoid);
+    const Duration avoid = std::min(minAvoidTime * (1 << doublings), maxAvoidTime);
     upstream.m_avoidUntil = now + avoid;
 }
 
