--- a/include/gypsumdale/entry/boot_clock.hpp
+++ b/include/gypsumdale/entry/boot_clock.hpp
@@ -4,8 +4,11 @@
 
 namespace gypsumdale {
 
-/// Returns a steady time that counts while the VM is suspended, which the steady clock does not: a
-/// lease judged by that one would seem to hold after a suspension in which it ran out.
+/// Returns the time of a monotonic clock that also advances while the VM is suspended
+/// (CLOCK_BOOTTIME).
+///
+/// Leases are judged by it. On the steady clock, which stops during a suspension, a lease that
+/// expired meanwhile would still look valid.
 TimePoint bootNow();
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/config_source_selector.hpp
+++ b/include/gypsumdale/entry/config_source_selector.hpp
@@ -9,53 +9,55 @@
 
 namespace gypsumdale {
 
-/// Decides where a VM that is told of a newer configuration gets it: from the reader that told it,
-/// or from the store.
+/// Selects where a VM gets a newer configuration that a reader reported: from that reader, or from
+/// the store.
 ///
-/// It answers the load of quick successions of versions in a large fleet, each of which all VMs of
-/// a data centre would read from the store.
+/// Without this choice, a quick succession of versions in a large fleet makes every VM of a data
+/// centre read each version from the store.
 class ConfigSourceSelector
 {
 public:
-    /// How often readers are asked at most: versions may follow each other within a tenth of that.
+    /// Minimum interval between requests to readers. Versions may follow each other ten times as
+    /// fast.
     static constexpr Duration minRequestInterval = std::chrono::milliseconds(500);
-    /// Time that a reader has to bring a newer version before the store is read.
+    /// Time that a reader has to send a newer version before the store is read.
     static constexpr Duration readerTimeout = std::chrono::milliseconds(800);
 
-    /// Takes in which version a reader holds, and whether it sends it to who asks. Returns whether
-    /// to ask it. Constant.
-    bool take(std::int64_t told, std::int64_t own, bool isSent, TimePoint now)
+    /// Records which version a reader holds, and whether it sends the text on request. Returns
+    /// whether to request it. Complexity: constant.
+    bool take(std::int64_t reported, std::int64_t own, bool isSent, TimePoint now)
     {
-        if (told <= own)
+        if (reported <= own)
             return false;
-        if (m_told <= own)
+        if (m_reportedVersion <= own)
             m_behindSince = now;
-        m_told = std::max(m_told, told);
-        m_isSent = isSent;
-        const bool isTooSoon = m_askedAt && now - *m_askedAt < minRequestInterval;
+        m_reportedVersion = std::max(m_reportedVersion, reported);
+        m_isSentOnRequest = isSent;
+        const bool isTooSoon = m_requestedAt && now - *m_requestedAt < minRequestInterval;
         if (!isSent || isTooSoon)
             return false;
-        m_askedAt = now;
+        m_requestedAt = now;
         return true;
     }
 
-    /// Takes in that a version was adopted: whoever brought it may bring the next. Constant.
+    /// Records that a version was adopted, which restarts the time that a reader has for the next
+    /// one. Complexity: constant.
     void onAdopted(TimePoint now) { m_behindSince = now; }
 
-    /// Tells whether the own version is known to be old and nobody is about to bring a newer one.
-    /// Constant.
+    /// Returns whether the own version is known to be outdated and no reader is expected to send a
+    /// newer one. Complexity: constant.
     bool mustRead(std::int64_t own, TimePoint now) const
     {
-        if (m_told <= own)
+        if (m_reportedVersion <= own)
             return false;
-        return !m_isSent || now - m_behindSince >= readerTimeout;
+        return !m_isSentOnRequest || now - m_behindSince >= readerTimeout;
     }
 
 private:
-    std::int64_t m_told = 0;
-    bool m_isSent = false;
+    std::int64_t m_reportedVersion = 0;
+    bool m_isSentOnRequest = false;
     TimePoint m_behindSince{};
-    std::optional<TimePoint> m_askedAt;
+    std::optional<TimePoint> m_requestedAt;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/confirmation.hpp
+++ b/include/gypsumdale/entry/confirmation.hpp
@@ -7,7 +7,8 @@
 
 namespace gypsumdale {
 
-/// When a watch was sent, how long it might wait at the store, and when its answer was read.
+/// Times of a watch: when it was sent, how long it could wait at the store, and when its answer was
+/// read.
 struct WatchTimes
 {
     TimePoint m_sentAt{};
@@ -15,42 +16,44 @@
     TimePoint m_answeredAt{};
 };
 
-/// How old something was that another VM tells.
+/// Age of data as reported by another VM.
 struct ReportedAge
 {
-    /// As the other VM sent it.
+    /// Age when the other VM sent the report.
     Duration m_ageWhenSent{};
-    /// A moment after which it was sent; nothing where that isn't known.
+    /// A time after which the report was sent; nothing if that is unknown.
     std::optional<TimePoint> m_sentAfter;
 };
 
-/// Whether a watch brought anything.
+/// Result of a watch.
 enum class WatchResult { Changes, Nothing };
 
-/// Keeps a moment at which the store surely had nothing newer than what this VM holds.
+/// Records the latest time at which the store is known to have had nothing newer than what this VM
+/// holds.
 ///
-/// It is counted from when a question was sent, not from when its answer was read: that may have
-/// been long under way, or have lain unread.
+/// The time counts from when a request was sent, not from when its answer was read: the answer may
+/// have been delayed on the network or have waited to be read.
 class Confirmation
 {
 public:
-    /// Takes in that a question which was sent at a time is answered. Constant.
-    void take(TimePoint sentAt) { m_at = std::max(m_at, sentAt); }
+    /// Records that a request sent at the given time was answered. Complexity: constant.
+    void record(TimePoint sentAt) { m_at = std::max(m_at, sentAt); }
 
-    /// Takes in an answered watch: one that waited in vain says what was true until then. Constant.
-    void take(const WatchTimes &times, WatchResult result)
+    /// Records an answered watch. One that waited its full time without changes confirms the state
+    /// up to the end of its wait. Complexity: constant.
+    void record(const WatchTimes &times, WatchResult result)
     {
         const TimePoint waitedUntil = times.m_sentAt + times.m_wait;
         const bool hasWaited = result == WatchResult::Nothing && times.m_answeredAt >= waitedUntil;
-        take(hasWaited ? waitedUntil : times.m_sentAt);
+        record(hasWaited ? waitedUntil : times.m_sentAt);
     }
 
-    /// Takes in the word of another VM that holds the same or less; one of unknown age says
-    /// nothing. Constant.
-    void take(const ReportedAge &age)
+    /// Records a report of another VM that holds the same data or older data. A report of unknown
+    /// age confirms nothing. Complexity: constant.
+    void record(const ReportedAge &age)
     {
         if (age.m_sentAfter)
-            take(*age.m_sentAfter - age.m_ageWhenSent);
+            record(*age.m_sentAfter - age.m_ageWhenSent);
     }
 
     TimePoint at() const { return m_at; }
--- a/include/gypsumdale/entry/entry_config_feed.hpp
+++ b/include/gypsumdale/entry/entry_config_feed.hpp
@@ -13,12 +13,13 @@
 
 namespace gypsumdale {
 
-/// Follows the configuration in the store and takes it from peers. Only higher versions are
-/// adopted, whoever tells: neither a stale read nor a peer that lags can turn the VM back.
+/// Follows the configuration in the store and receives it from peers. Only higher versions are
+/// adopted, whatever their source, so that neither a stale read nor a peer that is behind can
+/// revert the VM to an older version.
 class EntryConfigFeed
 {
 public:
-    /// Called with each version that is adopted, on the control thread.
+    /// Called with each adopted version, on the control thread.
     using Adopted = std::function<void(const ServingViewPointer &)>;
 
     EntryConfigFeed(EntryContext &context, Adopted adopted);
@@ -26,45 +27,48 @@
     /// Follows the store until the process stops. Runs in a fiber of its own.
     void follow();
 
-    /// Called after a reading of the store that brought nothing, on the control thread.
+    /// Called after each failed read of the store, on the control thread.
     using StoreReadFailed = std::function<void()>;
-    void onStoreReadFailed(StoreReadFailed failed) { m_readingFailed = std::move(failed); }
+    void onStoreReadFailed(StoreReadFailed failed) { m_storeReadFailed = std::move(failed); }
 
-    /// Says whether a peer is about to bring the whole text: the store isn't asked for it besides.
+    /// Sets whether a peer is about to send the full text. The store isn't asked for the full text
+    /// meanwhile.
     void setFetching(bool isFetching) { m_isFetching = isFetching; }
     bool isFetching() const { return m_isFetching; }
-    /// Tells whether the store has been asked for the whole text and has not answered yet.
-    bool isReadingFullText() const { return m_isReadingWhole; }
+    /// Returns whether a request to the store for the full text is unanswered.
+    bool isReadingFullText() const { return m_isReadingFullText; }
 
-    /// Takes a version as a peer passed it on. Returns true if it was new.
+    /// Adopts a version received from a peer if it is newer than the own one. Returns whether it
+    /// was.
     bool applyFromPeer(const std::string &text, const std::string &peer);
 
-    /// Says how this VM learns of versions from now on.
+    /// Sets how this VM learns of versions from now on.
     void setRole(StoreRole role) { m_role = role; }
     StoreRole role() const { return m_role; }
-    /// Takes in which version a reader of this data centre holds, how long ago the store confirmed
-    /// it, and whether the reader sends it to who asks. Returns whether to ask.
+    /// Applies a reader's report of its version, of the age of the store's confirmation, and of
+    /// whether the reader sends the text on request. Returns whether to request it.
     bool receiveUpdate(std::int64_t version, const ReportedAge &age, bool isSent);
-    /// How long ago the store surely had no later version than the one in force.
+    /// Returns the time since the store last confirmed that it has no later version than the one in
+    /// force.
     Duration age() const { return m_context.now() - m_confirmation.at(); }
 
-    /// Tells whether the store doesn't answer, so that news can come from peers only.
+    /// Returns whether the store doesn't answer, so that updates can come from peers only.
     bool isStoreLost() const { return m_store.isLost(); }
     std::int64_t version() const { return m_version; }
-    /// The configuration in force as the store wrote it, to pass on.
+    /// Returns the configuration in force as the store wrote it, to pass on to peers.
     const std::string &text() const { return m_text; }
     const ServingViewPointer &view() const { return m_view; }
 
 private:
     bool adopt(const std::string &text, std::string_view source);
-    void take(const platform::StoreObject &object);
-    Duration toldLimit() const;
-    bool isTold() const;
+    void applyObject(const platform::StoreObject &object);
+    Duration updateAgeLimit() const;
+    bool hasRecentUpdate() const;
     Duration watchWait() const;
-    bool mustReadWhole() const;
-    void readWhole();
+    bool mustReadFullText() const;
+    void readFullText();
     void watchOnce();
-    void noteRead(std::int64_t revision);
+    void recordRead(std::int64_t revision);
 
     EntryContext &m_context;
     Adopted m_adopted;
@@ -72,16 +76,16 @@
     ServingViewPointer m_view;
     std::string m_text;
     std::int64_t m_version = 0;
-    /// Where the next watch begins; 0 to read anew.
+    /// Revision at which the next watch begins; 0 to read the full text again.
     std::int64_t m_revision = 0;
     StoreRole m_role = StoreRole::Alone;
     Confirmation m_confirmation;
-    /// When the store last answered this VM itself.
+    /// Time of the last answer of the store to this VM itself.
     TimePoint m_readAt{};
-    ConfigSourceSelector m_news;
-    StoreReadFailed m_readingFailed;
+    ConfigSourceSelector m_sourceSelector;
+    StoreReadFailed m_storeReadFailed;
     bool m_isFetching = false;
-    bool m_isReadingWhole = false;
+    bool m_isReadingFullText = false;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_context.hpp
+++ b/include/gypsumdale/entry/entry_context.hpp
@@ -13,7 +13,7 @@
 
 namespace gypsumdale {
 
-/// What the parts of the control thread share.
+/// State shared by the parts of the control thread.
 struct EntryContext
 {
     EntrySettings &m_settings;
@@ -25,14 +25,14 @@
     Metrics &m_metrics;
     HttpClient &m_client;
     platform::StoreClient &m_store;
-    /// Tells this process from earlier ones of the same VM.
+    /// Distinguishes this process from earlier ones of the same VM.
     std::int64_t m_incarnation = 0;
     bool m_isStopping = false;
 
     TimePoint now() const { return m_clock.now(); }
 };
 
-/// Tells once when a dependency is lost and once when it is back.
+/// Logs once when a dependency is lost and once when it is back.
 class DependencyMonitor
 {
 public:
--- a/include/gypsumdale/entry/entry_daemon.hpp
+++ b/include/gypsumdale/entry/entry_daemon.hpp
@@ -9,13 +9,13 @@
 
 namespace gypsumdale {
 
-/// Reads the settings anew; nothing where they can't be read or have findings, which the function
-/// has told already.
+/// Reads the settings again. Returns nothing if they can't be read or are invalid, which the
+/// function has already reported.
 using ReadEntrySettings = std::function<std::optional<EntrySettings>()>;
 
-/// Runs one entry process until SIGTERM or SIGINT and a graceful shutdown. SIGHUP, or a change of
-/// the settings file without it, reloads the settings. Fails at once if an address is taken.
-/// Returns the number of requests that had to be cut.
+/// Runs one entry process until SIGTERM or SIGINT, followed by a graceful shutdown. SIGHUP, or a
+/// change of the settings file, reloads the settings. Returns an error immediately if an address is
+/// in use. Returns the number of requests that were cancelled at shutdown.
 Result<std::size_t> runEntryDaemon(const EntrySettings &settings, ReadEntrySettings readAgain);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_duties.hpp
+++ b/include/gypsumdale/entry/entry_duties.hpp
@@ -18,46 +18,47 @@
 
 namespace gypsumdale {
 
-/// Does the fleet's duties while this VM holds their lease: reports usage and orders upstreams.
+/// Performs the fleet's duties while this VM holds their lease: reports usage and orders upstreams.
 class EntryDuties
 {
 public:
     EntryDuties(EntryContext &context, EntryConfigFeed &config, EntryUpstreamFeed &upstreams,
                 EntryPeers &peers);
 
-    /// Keeps or seeks the lease until the process stops. Runs in a fiber of its own.
+    /// Renews or tries to acquire the lease until the process stops. Runs in a fiber of its own.
     void followLease();
     /// Reports usage windows while the lease is held. Runs in a fiber of its own.
     void reportUsage();
     /// Orders upstreams while the lease is held. Runs in a fiber of its own.
     void scale();
-    /// Gives the lease up at shutdown.
+    /// Gives up the lease at shutdown.
     void resign() { m_lease.resign(); }
 
 private:
     using OrderKey = std::pair<std::pair<ServiceId, DataCentreId>, bool>;
-    struct SentOrder
+    struct OrderRecord
     {
         int m_count = 0;
         TimePoint m_at{};
     };
 
-    void takeLeaseStep();
+    void performLeaseStep();
     void read();
     void write(const LeaseRecord &record);
-    void noteHolding();
+    void publishHolding();
 
     void reportDueWindows();
-    UsageWindows::FleetObservation look();
+    UsageWindows::FleetObservation observeFleet();
     bool loadLedger();
     void storeLedger(UsageLedger next);
     bool sendWindow(const UsageReport &report);
 
     void scaleService(const ServingService &service);
     void send(const ScaleOrder &order);
-    int present(const ScaleOrder &order) const;
-    /// Handles what a refusal says about the lease. Returns true if the call was accepted.
-    bool handle(const platform::CloudReply &reply, std::int64_t fence, const char *call);
+    int countPresent(const ScaleOrder &order) const;
+    /// Logs a refused call, and gives up the lease if the call was fenced. Returns whether the call
+    /// was accepted.
+    bool handleReply(const platform::CloudReply &reply, std::int64_t fence, const char *call);
 
     EntryContext &m_context;
     EntryConfigFeed &m_config;
@@ -68,10 +69,10 @@
     std::int64_t m_loggedFence = 0;
     UsageWindows m_windows;
     std::int64_t m_ledgerRevision = -1;
-    /// Under which number the ledger was read: a new term reads it anew.
+    /// Fence under which the ledger was read. Under a new fence it is read again.
     std::int64_t m_ledgerFence = 0;
     ScalePlanner m_planner;
-    std::map<OrderKey, SentOrder> m_sent;
+    std::map<OrderKey, OrderRecord> m_sentOrders;
     std::int64_t m_sentFence = 0;
 };
 
--- a/include/gypsumdale/entry/entry_metrics.hpp
+++ b/include/gypsumdale/entry/entry_metrics.hpp
@@ -6,11 +6,12 @@
 
 namespace gypsumdale {
 
-/// For how many accounts and routes an entry process has series of their own.
+/// Number of accounts and routes that have their own metric series in an entry process.
 constexpr MetricsLimits entryMetricsLimits{16, 12};
 
-/// The page of an entry process with all of them in use stays below this, at names of up to 9
-/// characters and counts of seven digits: a twentieth of a second of a link of 10 Mbit/s.
+/// Upper limit of the size in bytes of an entry process's metrics page with all series in use,
+/// names of up to 9 characters and counts of seven digits. At 10 Mbit/s it takes about a twentieth
+/// of a second to send.
 constexpr std::size_t maxEntryMetricsPageBytes = std::size_t{64} * 1024;
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_peers.hpp
+++ b/include/gypsumdale/entry/entry_peers.hpp
@@ -35,94 +35,97 @@
     bool m_canReadStore = false;
 };
 
-/// Exchanges what VMs know with every other entry VM: of each pair the one with the lower address
-/// begins, and the other only if it hears nothing. Finds peers by the seeds, the store and each
-/// other's word.
+/// Exchanges state with every other entry VM. Of each pair, the VM with the lower address initiates
+/// the exchange; the other one does only if it receives nothing. Peers are found through the seeds,
+/// the store's registry and the peer lists of other VMs.
 class EntryPeers
 {
 public:
     EntryPeers(EntryContext &context, EntryConfigFeed &config, EntryUpstreamFeed &upstreams);
     ~EntryPeers();
 
-    /// Opens the peers' address.
+    /// Opens the listening address for peers.
     Result<Done> listen();
 
-    /// Exchanges by the clock until the process stops. Runs in a fiber of its own.
+    /// Exchanges at regular intervals until the process stops. Runs in a fiber of its own.
     void run();
 
-    /// Tells all peers at once, after a version was adopted.
+    /// Starts an exchange with all peers at once, after a version was adopted. In a large fleet it
+    /// does nothing.
     void announceToAll();
 
-    /// Takes what the traffic thread knows as the report that goes out from now on.
+    /// Fetches the current state of the traffic thread as the report to send from now on.
     void collectReport();
-    /// Sends the peers what this VM counted last, as it is about to end and its exchanges are over:
-    /// in a large fleet the holder of the duties and some more, otherwise all. Doesn't wait.
+    /// Sends the peers the final counts of this process before it ends, when its regular exchanges
+    /// are over: in a large fleet to the holder of the duties and a few others, otherwise to all.
+    /// Doesn't wait.
     void sendFinalReport();
-    /// Waits until the peers have taken the farewell, but not longer than until the time given.
+    /// Waits until the peers have received the final report, or until the given time.
     void awaitFinalReport(TimePoint end);
 
-    /// Takes in the address of a VM that was told of.
+    /// Adds the VM at an address that this VM was told of, unless it is known.
     void learn(const std::string &node, const std::string &address, bool isSeed);
-    /// Takes in how many VMs the registry has.
+    /// Sets the number of VMs in the registry.
     void setRegistered(std::size_t vms);
-    /// Tells whether the VM at an address was heard lately enough to be part of the fleet.
+    /// Returns whether the VM at an address is a live peer, so that it counts as part of the fleet.
     bool isLivePeer(const std::string &address) const
     {
         return m_table.isLivePeer(address, m_context.now());
     }
     const std::string &ownAddress() const { return m_table.ownAddress(); }
 
-    /// Says under which number and stored revision this VM holds the duties; 0 if it doesn't.
+    /// Sets the fence and the stored revision under which this VM holds the duties; 0 if it
+    /// doesn't.
     void setDuty(std::int64_t fence, std::int64_t revision) { m_writer.setDuty(fence, revision); }
     bool holdsDuty() const { return m_writer.holdsDuty(); }
     using DutyReported = std::function<void(std::int64_t fence, std::int64_t revision)>;
-    void onDutyReported(DutyReported heard) { m_dutyHeard = std::move(heard); }
+    void onDutyReported(DutyReported heard) { m_dutyReported = std::move(heard); }
 
-    /// Tells all peers what this VM has put on an upstream. Without an answer nothing is done: the
-    /// next exchange brings it.
+    /// Sends this VM's load at an upstream to all responding peers. A peer that doesn't answer
+    /// isn't asked again, as the next exchange brings the load.
     void announceLoad(const UpstreamId &upstream, InFlightLoad load);
 
-    /// Called with news of the store, and with a moment after which they were sent if that is
-    /// known; returns what this VM lacks beyond that.
+    /// Called with a store update, and with a time after which it was sent if that is known.
+    /// Returns what this VM still needs.
     using StoreUpdateReceived = std::function<entrywire::StoreNewsTaken(
             const entrywire::StoreNews &, std::optional<TimePoint> sentAfter)>;
-    void onStoreUpdate(StoreUpdateReceived heard) { m_newsHeard = std::move(heard); }
-    /// Stamps a message so that its receiver can tell its age, sends it to a peer, and waits for
+    void onStoreUpdate(StoreUpdateReceived heard) { m_storeUpdateReceived = std::move(heard); }
+    /// Stamps a message so that its receiver can compute its age, sends it to a peer, and waits for
     /// the answer. Errors: those of the channel, and PeerMalformed, which is logged.
     Result<entrywire::EntryExchange> ask(const KnownPeerPointer &peer,
                                          entrywire::EntryExchange &message, Duration timeout);
-    /// The same over a connection of its own, so that nothing waits behind the answer.
+    /// Does the same over a separate connection, so that no other message waits behind the answer.
     Result<entrywire::EntryExchange> askForText(const KnownPeerPointer &peer,
                                                 entrywire::EntryExchange &message);
-    /// Returns a moment after which a message was sent, if its stamp tells.
+    /// Returns a time after which a message was sent, if its stamp has an echo of this process.
     std::optional<TimePoint> sentAfter(const entrywire::EntryExchange &message) const;
-    /// Returns the peers of the own data centre that were heard lately.
+    /// Returns the responding peers of the own data centre.
     std::vector<DataCentrePeer> dataCentrePeers() const;
-    /// Tells whether exchanges are spread out for the size of the fleet.
+    /// Returns whether the fleet is so large that exchanges are spread out.
     bool isLargeFleet() const { return pace().isSpreadOut(); }
 
-    /// Returns how long the VM of the fleet that was not heard for longest has been silent.
+    /// Returns the longest time for which a live peer has sent nothing.
     Duration longestSilence() const { return m_table.longestSilence(m_context.now()); }
     const TrafficReport &report() const { return m_writer.report(); }
-    /// Returns what was exchanged with all peers, those included that are gone. Linear in the
-    /// peers.
+    /// Returns the traffic exchanged with all peers, removed ones included. Complexity: linear in
+    /// the number of peers.
     FrameTraffic traffic() const;
 
 private:
     ExchangePacing pace() const { return m_table.pace(m_context.now()); }
-    void tellTraffic();
+    void publishFleetSize();
     void spawnExchange(const KnownPeerPointer &peer);
     void exchange(const KnownPeerPointer &peer);
-    std::vector<KnownPeerPointer> farewellPeers() const;
+    std::vector<KnownPeerPointer> finalReportPeers() const;
     void expire();
     Result<entrywire::EntryExchange> decodeAnswer(const KnownPeerPointer &peer,
                                                   const Result<std::string> &reply);
     FrameAnswer answer(const std::string &frame);
     FrameAnswer answerText(const entrywire::EntryExchange &received);
-    void take(const entrywire::EntryExchange &message);
-    void hearMark(KnownPeer &peer, const entrywire::EntryExchange &message);
+    void applyMessage(const entrywire::EntryExchange &message);
+    void recordTimestamp(KnownPeer &peer, const entrywire::EntryExchange &message);
     MessageStamp stampFor(const KnownPeer *peer) const;
-    void takeLoad(const entrywire::LoadNews &news);
+    void applyLoad(const entrywire::LoadNews &news);
     void recordReceived(const entrywire::EntryExchange &message);
 
     EntryContext &m_context;
@@ -133,13 +136,13 @@
     FleetSizeEstimate m_fleetSize;
     ExchangeWriter m_writer;
     EntryTexts m_texts;
-    DutyReported m_dutyHeard;
-    StoreUpdateReceived m_newsHeard;
-    /// Who said last that it holds the duties.
+    DutyReported m_dutyReported;
+    StoreUpdateReceived m_storeUpdateReceived;
+    /// Address of the peer that last reported holding the duties.
     std::string m_holderAddress;
-    int m_farewellsUnderWay = 0;
-    /// Of channels that were given up.
-    FrameTraffic m_closedTraffic;
+    int m_pendingFinalReports = 0;
+    /// Traffic of closed channels.
+    FrameTraffic m_closedChannelTraffic;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_registry.hpp
+++ b/include/gypsumdale/entry/entry_registry.hpp
@@ -8,7 +8,8 @@
 
 namespace gypsumdale {
 
-/// Keeps this VM's entry in the store's registry of VMs, and tells the peers who else is there.
+/// Keeps this VM's entry in the store's registry of VMs, and passes the other entries to
+/// EntryPeers.
 class EntryRegistry
 {
 public:
@@ -17,19 +18,20 @@
         , m_peers(peers)
     {}
 
-    /// Registers this VM and reads the others until the process stops. Runs in a fiber of its own.
+    /// Registers this VM and reads the other entries until the process stops. Runs in a fiber of
+    /// its own.
     void follow();
-    /// Takes this VM out of the store.
+    /// Removes this VM's entry from the store.
     void leave();
 
 private:
     bool registerSelf();
-    bool take(const platform::StoreListing &listing);
-    void removeIfGone(const platform::NodeRecord &node);
+    bool addPeers(const platform::StoreListing &listing);
+    void removeIfExpired(const platform::NodeRecord &node);
 
     EntryContext &m_context;
     EntryPeers &m_peers;
-    RegistryExpiry m_silence;
+    RegistryExpiry m_expiry;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_store_relay.hpp
+++ b/include/gypsumdale/entry/entry_store_relay.hpp
@@ -14,46 +14,46 @@
 
 namespace gypsumdale {
 
-/// Lets a few VMs of each data centre read the store for the others in a large fleet.
+/// In a large fleet, lets a few readers of each data centre read the store for the others.
 ///
-/// Each call to the store is paid for, and every VM would read every change of every upstream and
-/// every version of the configuration. All VMs name the same readers from the peers they hear,
-/// without a word; where they differ for a moment, more VMs read. A follower that isn't told in
-/// time reads for itself, so that readers may be lost at any moment: the bounds hold with a part of
-/// them left for its own reading.
+/// Each call to the store is charged, and without readers every VM would read every change of every
+/// upstream and every version of the configuration. Each VM computes the readers from its live
+/// peers, without messages; while the results of VMs differ, more VMs read. A follower that
+/// receives no update in time reads for itself, so that readers may be lost at any time: the age
+/// limits leave enough time for a follower's own read.
 class EntryStoreRelay
 {
 public:
     EntryStoreRelay(EntryContext &context, EntryConfigFeed &config, EntryUpstreamFeed &upstreams,
                     EntryPeers &peers);
 
-    /// Chooses this VM's role and tells the followers until the process stops. Runs in a fiber of
-    /// its own.
+    /// Selects this VM's role and sends updates to the followers until the process stops. Runs in a
+    /// fiber of its own.
     void run();
 
 private:
     struct Follower
     {
         FollowerState m_state;
-        ReceiptBackoff m_pause;
+        ReceiptBackoff m_backoff;
         bool m_isBusy = false;
 
-        /// Tells whether it may be told now.
+        /// Returns whether an update may be sent to it now.
         bool isDue(TimePoint now) const
         {
-            return !m_isBusy && (m_state.isKnown() || m_pause.isOver(now));
+            return !m_isBusy && (m_state.isKnown() || m_backoff.isOver(now));
         }
     };
-    /// What a follower is told of the configuration.
-    enum class ConfigPart { Version, Whole };
+    /// What an update contains of the configuration.
+    enum class ConfigContent { Version, FullText };
 
-    void chooseRole();
-    UpdateState newsState() const;
-    void tellAll();
-    void tell(const DataCentrePeer &peer);
-    entrywire::StoreNewsTaken tellPart(const DataCentrePeer &peer, ConfigPart part);
-    entrywire::StoreNewsTaken take(const entrywire::StoreNews &news,
-                                   std::optional<TimePoint> sentAfter);
+    void selectRole();
+    UpdateState updateState() const;
+    void sendUpdates();
+    void sendUpdate(const DataCentrePeer &peer);
+    entrywire::StoreNewsTaken sendPart(const DataCentrePeer &peer, ConfigContent part);
+    entrywire::StoreNewsTaken applyUpdate(const entrywire::StoreNews &news,
+                                          std::optional<TimePoint> sentAfter);
 
     EntryContext &m_context;
     EntryConfigFeed &m_config;
@@ -62,7 +62,7 @@
     StoreRole m_role = StoreRole::Alone;
     /// By address.
     std::map<std::string, Follower> m_followers;
-    UpdatePacing m_pace;
+    UpdatePacing m_pacing;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_texts.hpp
+++ b/include/gypsumdale/entry/entry_texts.hpp
@@ -20,7 +20,7 @@
 
 class EntryPeers;
 
-/// The texts that VMs ask each other for, by their numbers on the wire.
+/// The texts that VMs request from each other, by their numbers on the wire.
 enum class TextKind : std::int32_t { Config = 1, Upstreams = 2 };
 
 inline constexpr NameTable<TextKind, 2> textKindNames = {{
@@ -28,40 +28,41 @@
         {TextKind::Upstreams, "upstreams"},
 }};
 
-/// The answer to a request for a text, and what to hold until the peer has it.
+/// The answer to a request for a text, and an object to keep alive until the peer has received it.
 struct TextReply
 {
     std::shared_ptr<entrywire::EntryExchange> m_message;
     std::shared_ptr<void> m_held;
 };
 
-/// Asks peers for whole texts that this VM lacks and the store doesn't bring, and answers peers
-/// that ask. Used on the control thread.
+/// Requests full texts from peers when this VM is behind and the store doesn't provide them, and
+/// answers such requests. Used on the control thread.
 class EntryTexts
 {
 public:
     EntryTexts(EntryContext &context, EntryConfigFeed &config, EntryUpstreamFeed &upstreams,
                const PeerTable &table, EntryPeers &peers);
 
-    /// Asks a peer where it is time to. Doesn't wait. Linear in the peers.
+    /// Sends the requests to peers that are due. Doesn't wait. Complexity: linear in the number of
+    /// peers.
     void startFetches();
 
-    /// Returns the answer to a peer that asks.
+    /// Returns the answer to a peer's request.
     TextReply answer(const entrywire::TextRequest &request);
 
 private:
-    void pursueConfig();
-    void pursueUpstreams();
-    void fetch(TextKind kind, const std::string &address, const char *reason);
+    void fetchConfigIfDue();
+    void fetchUpstreamsIfDue();
+    void startFetch(TextKind kind, const std::string &address, const char *reason);
     void fetchFrom(TextKind kind, const KnownPeerPointer &peer);
-    Result<Done> take(TextKind kind, const KnownPeerPointer &peer,
-                      const entrywire::EntryExchange &answer);
-    bool takeText(TextKind kind, const KnownPeerPointer &peer,
-                  const entrywire::EntryExchange &answer);
-    TextFetchState configNeed() const;
-    std::int64_t held(TextKind kind) const;
+    Result<Done> applyAnswer(TextKind kind, const KnownPeerPointer &peer,
+                             const entrywire::EntryExchange &answer);
+    bool applyText(TextKind kind, const KnownPeerPointer &peer,
+                   const entrywire::EntryExchange &answer);
+    TextFetchState configFetchState() const;
+    std::int64_t heldVersion(TextKind kind) const;
     TextFetch &fetchOf(TextKind kind);
-    TextSendLimiter &servingOf(TextKind kind);
+    TextSendLimiter &sendLimiterOf(TextKind kind);
 
     EntryContext &m_context;
     EntryConfigFeed &m_config;
@@ -70,8 +71,8 @@
     EntryPeers &m_peers;
     TextFetch m_configFetch;
     TextFetch m_upstreamFetch;
-    TextSendLimiter m_configServing;
-    TextSendLimiter m_upstreamServing;
+    TextSendLimiter m_configSendLimiter;
+    TextSendLimiter m_upstreamSendLimiter;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/entry_traffic.hpp
+++ b/include/gypsumdale/entry/entry_traffic.hpp
@@ -31,7 +31,7 @@
 
 namespace gypsumdale {
 
-/// What the control thread takes from the traffic thread for an exchange with the peers.
+/// State of the traffic thread that the control thread sends in exchanges with the peers.
 struct TrafficReport
 {
     std::map<AccountId, ReportedUsage> m_accounts;
@@ -40,13 +40,13 @@
     std::vector<EndedProcessUsage> m_endedUsage;
     /// Requests in flight at each service over all VMs.
     std::map<ServiceId, double> m_running;
-    /// Reading rates as this VM sees them, and over the fleet.
+    /// Prompt reading rates as measured by this VM, and of the whole fleet.
     std::map<ServiceId, PrefillRate> m_ownReading;
     std::map<ServiceId, PrefillRate> m_fleetReading;
     WallMillis m_wall = 0;
 };
 
-/// What a peer reported, for the traffic thread.
+/// A peer's report, for the traffic thread.
 struct PeerReport
 {
     std::string m_node;
@@ -54,18 +54,18 @@
     std::map<AccountId, ReportedUsage> m_accounts;
     std::map<UpstreamId, InFlightLoad> m_loads;
     std::map<WindowNumber, WindowCounts> m_usage;
-    /// What it knows of processes that tell of their counts no longer.
+    /// Counts of processes that have ended, as far as the peer knows them.
     std::vector<EndedProcessUsage> m_endedUsage;
     std::map<ServiceId, PrefillRate> m_reading;
-    /// Its wall time less this VM's, as of the report.
+    /// The peer's wall time minus this VM's at the time of the report.
     WallMillis m_wallOffset = 0;
 };
 
 class EntryCall;
 class RunMover;
 
-/// Everything that requests are decided on, owned by the traffic thread. Messages of the control
-/// thread arrive as calls on this thread's loop.
+/// State that decisions about requests are based on, owned by the traffic thread. Messages of the
+/// control thread arrive as calls on this thread's loop.
 class EntryTraffic
 {
 public:
@@ -79,55 +79,57 @@
     /// Answers one request of a caller.
     void handle(const HttpRequest &request, HttpResponder &responder);
 
-    /// Keeps a request among those under way as long as it lives.
+    /// Registers a call as active for its own lifetime.
     class CallRegistration
     {
     public:
         CallRegistration(std::set<EntryCall *> &calls, EntryCall &call)
-            : m_calls(calls)
+            : m_activeCalls(calls)
             , m_call(&call)
         {
-            m_calls.insert(m_call);
+            m_activeCalls.insert(m_call);
         }
-        ~CallRegistration() { m_calls.erase(m_call); }
+        ~CallRegistration() { m_activeCalls.erase(m_call); }
         CallRegistration(const CallRegistration &) = delete;
         CallRegistration &operator=(const CallRegistration &) = delete;
 
     private:
-        std::set<EntryCall *> &m_calls;
+        std::set<EntryCall *> &m_activeCalls;
         EntryCall *m_call;
     };
     CallRegistration registerCall(EntryCall &call);
 
-    /// Ends the requests under way, and from now on each that begins: the process is about to end,
-    /// and their callers would see their connections end without an answer. Returns how many are
-    /// under way.
+    /// Cancels the active calls, and from now on each call that starts. Without that, the callers'
+    /// connections would end without an answer when the process ends. Returns the number of active
+    /// calls.
     std::size_t cancelCalls();
 
     void setView(ServingViewPointer view)
     {
         m_view = std::move(view);
-        m_firstKnowledge.recordConfiguration();
+        m_startupKnowledge.recordConfiguration();
     }
-    /// Tells whether a request should wait for what this process doesn't know yet.
-    bool shouldWaitForStartup() const { return m_firstKnowledge.shouldWaitForStartup(now()); }
+    /// Returns whether a request should wait for the first configuration or upstream list of this
+    /// process.
+    bool shouldWaitForStartup() const { return m_startupKnowledge.shouldWaitForStartup(now()); }
     void setUpstreams(const std::map<UpstreamId, UpstreamRecord> &upstreams, std::int64_t revision);
-    /// Takes in what is known of the age of the list in use, and for how long a list holds.
+    /// Sets what is known of the age of the list in use, and how long a list remains valid.
     void setListStanding(const ListConfirmation &list, const PlacementDeadline &term);
     Duration listAge() const { return now() - m_list.m_confirmedAt; }
-    /// Returns until when a request placed now may reach its upstream, or nothing where the list is
-    /// too old to place by. Constant.
+    /// Returns the placement deadline of a request placed now, or nothing if the list is too old
+    /// for placements. Complexity: constant.
     std::optional<TimePoint> placementDeadline() const { return m_term.until(m_list, now()); }
-    /// Returns the same for a request placed earlier, at an upstream that doesn't leave. Constant.
+    /// Returns the current placement deadline of a request placed earlier, at an upstream that
+    /// isn't leaving. Complexity: constant.
     TimePoint renewedDeadline(TimePoint placedUntil) const
     {
         return m_term.renewed(placedUntil, m_list);
     }
-    /// Returns until when a run may go on at an upstream that leaves, or nothing where that time is
-    /// over or unknown. Constant.
+    /// Returns the delivery deadline of a run that continues at a leaving upstream, or nothing if
+    /// that time has passed or is unknown. Complexity: constant.
     std::optional<TimePoint> deadlineWhileLeaving(const PooledUpstream &upstream) const;
     /// Returns the highest age in milliseconds of the list at a placement since the last call, or
-    /// nothing if there was none. Safe from any thread.
+    /// nothing if there was no placement. Safe to call from any thread.
     std::optional<std::int64_t> takePlacementListAge() { return m_placementListAge.take(); }
     void setPeer(const PeerReport &report);
     void setPeerLoadAt(const std::string &node, const UpstreamId &upstream, InFlightLoad load)
@@ -135,30 +137,34 @@
         m_pool.setPeerLoadAt(node, upstream, load, now());
     }
     void removePeer(const std::string &node);
-    /// Called with the load of an upstream that has just got a prompt that peers hear of at once.
+    /// Called with the load of an upstream to which a prompt was just sent that is long enough to
+    /// announce at once.
     using LongPromptPlaced = std::function<void(const UpstreamId &, InFlightLoad)>;
     void onLongPromptPlaced(LongPromptPlaced placed) { m_longPromptPlaced = std::move(placed); }
-    /// Notes that a request was placed, and tells the peers of it if they are to hear at once.
+    /// Records that a request was placed, and announces the load to the peers if the last argument
+    /// is set.
     void recordPlacement(const PooledUpstream &upstream, std::int64_t ownTokens,
                          bool shouldAnnounce);
-    /// Notes a prompt that is about to be placed and tells whether peers are to hear of it at once.
+    /// Records a prompt that is about to be placed. Returns whether to announce it to the peers at
+    /// once.
     bool shouldAnnounce(const ServiceId &service, std::int64_t ownTokens);
-    /// Takes in by how much exchanges with peers are spread out.
+    /// Sets the factor by which exchanges with peers are spread out.
     void setExchangeStretch(int stretch)
     {
         m_quota.setExchangeStretch(stretch);
         m_pool.setExchangeStretch(stretch);
         m_isSpreadOut = stretch > 1;
     }
-    /// Takes in how many VMs the fleet has, and how many it should have as long as this process has
-    /// not had the time to hear them; 0 after that.
+    /// Sets the number of VMs in the fleet, and the number it should have until this process has
+    /// had time to receive messages from all of them; 0 after that.
     void setFleetSize(std::size_t nodes, std::size_t expected)
     {
         m_allowance.setFleetSize(nodes);
         m_promptNews.setFleet(nodes, m_isSpreadOut);
         m_quota.setExpectedFleetSize(expected);
     }
-    /// Returns what to tell the peers. Linear in accounts and upstreams.
+    /// Returns the report for the peers. Complexity: linear in the number of accounts and
+    /// upstreams.
     TrafficReport report();
     /// Returns the counts of a usage window over all VMs.
     WindowCounts usageOf(WindowNumber window) const { return m_usage.total(window); }
@@ -167,8 +173,8 @@
     UpstreamPool &pool() { return m_pool; }
     FleetPrefillRates &reading() { return m_reading; }
     FirstEventForecaster &forecaster() { return m_forecaster; }
-    /// Returns the prompt tokens that an engine of a service reads in a time; 0 while its speed
-    /// isn't known.
+    /// Returns how many prompt tokens an engine of a service reads in the given time; 0 if its
+    /// speed isn't known.
     double tokensWithin(const ServiceId &service, Duration time) const;
     FleetQuota &quota() { return m_quota; }
     RetryBudgetShare &allowance() { return m_allowance; }
@@ -181,9 +187,9 @@
     /// Returns the time of day without jumps.
     WallMillis wallNow();
     void countUsage(const AccountId &account) { m_usage.add(account, wallNow()); }
-    /// Returns a number from 0 to 1, to spread what should not happen at one moment.
+    /// Returns a random number between 0 and 1, to spread events in time.
     double random();
-    /// Returns a random number of 64 bits.
+    /// Returns a random 64-bit number.
     std::uint64_t draw();
 
 private:
@@ -195,7 +201,8 @@
     ServingViewPointer m_view;
     UpstreamPool m_pool;
     HighestValue m_placementListAge;
-    /// A list that was never confirmed can't be waited for: without it nobody would be served.
+    /// A list that was never confirmed counts as unconfirmable: waiting for a confirmation would
+    /// leave all requests unserved.
     ListConfirmation m_list{TimePoint{}, true};
     PlacementDeadline m_term;
     FleetPrefillRates m_reading;
@@ -208,11 +215,11 @@
     RetryBudgetShare m_allowance;
     UsageCounts m_usage;
     std::unique_ptr<RunMover> m_mover;
-    std::set<EntryCall *> m_calls;
-    bool m_isEndingCalls = false;
-    StartupKnowledge m_firstKnowledge;
+    std::set<EntryCall *> m_activeCalls;
+    bool m_isCancellingCalls = false;
+    StartupKnowledge m_startupKnowledge;
     LongPromptPlaced m_longPromptPlaced;
-    SteadyWallClock m_wall;
+    SteadyWallClock m_wallClock;
     std::map<std::string, WallMillis> m_peerOffsets;
     std::uint64_t m_randomState;
 };
--- a/include/gypsumdale/entry/entry_upstream_feed.hpp
+++ b/include/gypsumdale/entry/entry_upstream_feed.hpp
@@ -12,7 +12,7 @@
 namespace gypsumdale {
 
 /// Follows the upstreams' entries in the store, takes the list from a peer while the store does not
-/// answer, and hands it to the traffic thread.
+/// answer, and passes it to the traffic thread.
 class EntryUpstreamFeed
 {
 public:
@@ -21,48 +21,50 @@
     /// Follows the store until the process stops. Runs in a fiber of its own.
     void follow();
 
-    /// Drops entries that had their time to come back.
+    /// Removes retained entries whose retention is over.
     void expire();
 
-    /// Takes a list that a peer read at a revision, if the own one has gone stale. Returns whether
-    /// it was taken.
+    /// Replaces the list with one that a peer read at a revision, if the own list is stale. Returns
+    /// whether it was replaced.
     bool applyFromPeer(const std::string &text, std::int64_t revision, ReportedAge age,
                        const std::string &peer);
 
-    /// Says how this VM learns the list from now on.
-    void setRole(StoreRole role) { m_following.setRole(role); }
-    /// Takes what a reader of this data centre tells. Returns false if this VM lacks more than
-    /// that.
+    /// Sets how this VM learns the list from now on.
+    void setRole(StoreRole role) { m_follower.setRole(role); }
+    /// Applies an update of a reader of this data centre. Returns false if the update does not
+    /// contain all changes that this VM is missing.
     bool receiveUpdate(const UpstreamListUpdate &news, ReportedAge age, std::string_view reader);
-    /// Returns what a follower lacks.
+    /// Returns the changes that a follower is missing.
     UpstreamListUpdate updateFor(const FollowerState &follower) const;
     std::int64_t newestChange() const { return feed().history().newest(); }
-    TimePoint readAt() const { return m_following.readAt(); }
+    TimePoint readAt() const { return m_follower.readAt(); }
 
-    /// Tells whether the store has not confirmed the list for so long that a peer's is better.
-    bool isStale() const { return m_following.isStale(m_context.now()); }
-    /// Tells whether the store didn't answer the last reading.
+    /// Returns whether the store's last confirmation of the list is so old that a peer's list is
+    /// preferred.
+    bool isStale() const { return m_follower.isStale(m_context.now()); }
+    /// Returns whether the last read of the store failed.
     bool isStoreLost() const { return m_store.isLost(); }
-    Duration age() const { return m_following.age(m_context.now()); }
+    Duration age() const { return m_follower.age(m_context.now()); }
     bool isKnown() const { return feed().isKnown(); }
     std::int64_t revision() const { return feed().revision(); }
-    /// Returns the list for a peer.
+    /// Returns the list in the form that is sent to peers.
     std::string text() const;
     const std::map<UpstreamId, UpstreamRecord> &upstreams() const { return feed().upstreams(); }
 
 private:
-    const UpstreamFeed &feed() const { return m_following.feed(); }
-    void readWhole();
+    const UpstreamFeed &feed() const { return m_follower.feed(); }
+    void readFullList();
     void watchOnce(const WatchStep &step);
     void noteFailed(const Error &error, ReadFailure failure);
-    /// Hands the list on if it changed for routing; the source is for the log.
+    /// Passes the list to the traffic thread if a change affects routing. The source is for the
+    /// log.
     void publish(std::string_view source);
-    void publishStanding();
+    void publishListState();
     void logUnusable(std::string_view source);
 
     EntryContext &m_context;
     DependencyMonitor m_store;
-    UpstreamListSync m_following;
+    UpstreamListSync m_follower;
     std::map<UpstreamId, UpstreamRecord> m_published;
     std::set<UpstreamId> m_loggedUnusable;
 };
--- a/include/gypsumdale/entry/exchange_pacing.hpp
+++ b/include/gypsumdale/entry/exchange_pacing.hpp
@@ -8,36 +8,36 @@
 
 namespace gypsumdale {
 
-/// How far apart exchanges with so many peers are, and what silence means at that pace.
+/// Interval between exchanges for a number of peers, and the silence limits that follow from it.
 class ExchangePacing
 {
 public:
-    /// How often a pair exchanges in a small fleet. Quotas are overrun by what comes in during one
-    /// exchange.
+    /// Interval between the exchanges of a pair in a small fleet. A quota can be exceeded by what
+    /// is admitted within one interval.
     static constexpr Duration exchangeInterval = std::chrono::milliseconds(250);
 
     explicit ExchangePacing(std::size_t peers)
         : m_stretch(static_cast<int>(
-                std::max<std::size_t>(1, (peers + peersAtFullPace - 1) / peersAtFullPace)))
+                std::max<std::size_t>(1, (peers + peersAtFullRate - 1) / peersAtFullRate)))
     {}
 
-    /// By how much exchanges are spread out for the size of the fleet; 1 in a small one.
+    /// Factor by which exchanges are spread out for the size of the fleet; 1 in a small one.
     int stretch() const { return m_stretch; }
     bool isSpreadOut() const { return m_stretch > 1; }
 
-    /// Silence after which the side of a pair that doesn't begin does.
-    Duration initiationTimeout() const { return lostExchanges * m_stretch; }
-    /// Silence within which a peer counts as heard just now.
-    Duration respondingWithin() const { return heardAtFullPace * m_stretch; }
+    /// Silence after which the side of a pair that doesn't normally initiate an exchange does so.
+    Duration initiationTimeout() const { return baseInitiationTimeout * m_stretch; }
+    /// Silence up to which a peer counts as responding.
+    Duration respondingWithin() const { return baseRespondingLimit * m_stretch; }
 
 private:
-    /// Beyond this many peers exchanges are spread out, so that a VM's control stays within its
-    /// bound.
-    static constexpr std::size_t peersAtFullPace = 12;
-    /// Three exchanges were lost.
-    static constexpr Duration lostExchanges = std::chrono::milliseconds(800);
-    /// Longer than the side that doesn't begin waits.
-    static constexpr Duration heardAtFullPace = std::chrono::milliseconds(1200);
+    /// With more peers, exchanges are spread out to keep the processor time of the control thread
+    /// within its limit.
+    static constexpr std::size_t peersAtFullRate = 12;
+    /// Three lost exchanges.
+    static constexpr Duration baseInitiationTimeout = std::chrono::milliseconds(800);
+    /// Longer than the side that doesn't normally initiate waits.
+    static constexpr Duration baseRespondingLimit = std::chrono::milliseconds(1200);
 
     int m_stretch;
 };
--- a/include/gypsumdale/entry/exchange_writer.hpp
+++ b/include/gypsumdale/entry/exchange_writer.hpp
@@ -15,8 +15,8 @@
 
 namespace gypsumdale {
 
-/// Writes what this VM tells its peers in an exchange. Whole texts are not part of that: who lacks
-/// one asks for it.
+/// Composes the messages of this VM's exchanges with its peers. Full texts are not included: a VM
+/// that is missing one requests it.
 class ExchangeWriter
 {
 public:
@@ -30,16 +30,18 @@
         , m_table(table)
     {}
 
-    /// Takes over what the traffic thread reported just now.
+    /// Sets the report that the traffic thread has just made.
     void setReport(TrafficReport report);
     const TrafficReport &report() const { return m_report; }
-    /// The report that goes out until the next one is taken must not bring the load of before.
+    /// Updates one load in the report, so that messages sent before the next report don't contain
+    /// the previous value.
     void setLoad(const UpstreamId &upstream, InFlightLoad load)
     {
         m_report.m_loads[upstream] = load;
     }
 
-    /// Says under which number and stored revision this VM holds the duties; 0 if it doesn't.
+    /// Sets the fence and the stored revision under which this VM holds the duties; 0 if it
+    /// doesn't.
     void setDuty(std::int64_t fence, std::int64_t revision)
     {
         m_dutyFence = fence;
@@ -47,12 +49,12 @@
     }
     bool holdsDuty() const { return m_dutyFence != 0; }
 
-    /// Returns a message to a peer, or to a VM that this one doesn't know, for nullptr.
+    /// Returns a message to a peer, or, for nullptr, to a VM that this one doesn't know.
     entrywire::EntryExchange message(const KnownPeer *peer);
 
 private:
     void fillOwnState(entrywire::EntryDigest &digest) const;
-    bool tellsEndedTo(const KnownPeer &peer) const;
+    bool sendsEndedCountsTo(const KnownPeer &peer) const;
     void fillPeers(entrywire::EntryDigest &digest);
 
     const EntryContext &m_context;
@@ -64,8 +66,8 @@
     std::int64_t m_dutyFence = 0;
     std::int64_t m_dutyRevision = 0;
     std::size_t m_messages = 0;
-    /// Where the next list of peers begins.
-    std::size_t m_nextPeerTold = 0;
+    /// Position at which the next list of peers begins.
+    std::size_t m_nextListedPeer = 0;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/fleet_size_estimate.hpp
+++ b/include/gypsumdale/entry/fleet_size_estimate.hpp
@@ -6,8 +6,9 @@
 
 namespace gypsumdale {
 
-/// How many VMs the fleet has, as a process takes it that may not have had the time to hear them:
-/// after a power cut all VMs start at once and none has heard another.
+/// Estimates the number of VMs in the fleet for a process that may not have had time to receive
+/// messages from all of them: after a power failure all VMs start at once and none has received
+/// any.
 class FleetSizeEstimate
 {
 public:
@@ -16,25 +17,26 @@
         , m_isFirstStart(isFirstStart)
     {}
 
-    /// Notes how many VMs the registry had when it was last read.
-    void setRegistered(std::size_t vms) { m_registered = vms; }
-    bool isRegistryRead() const { return m_registered > 0; }
+    /// Records the number of VMs in the registry when it was last read.
+    void setRegistered(std::size_t vms) { m_registeredVms = vms; }
+    bool isRegistryRead() const { return m_registeredVms > 0; }
 
-    /// Returns the VMs that the fleet should have, as long as this process has not had the time to
-    /// hear them, or hears fewer than the registry names and may still hear the rest; 0 after that.
-    /// Members are the peers heard, seeds those that the settings name.
+    /// Returns the number of VMs that the fleet should have, as long as this process has not had
+    /// time to receive messages from them, or receives them from fewer VMs than the registry lists
+    /// and the rest may still report; 0 after that. livePeers is the number of live peers, seeds
+    /// the number of peers in the settings.
     std::size_t expected(std::size_t livePeers, std::size_t seeds, TimePoint now) const;
 
-    /// Returns the VMs that budgets are shared with, this one among them.
+    /// Returns the number of VMs that share budgets, including this one.
     std::size_t size(std::size_t livePeers, TimePoint now) const;
 
 private:
     bool isLearning(TimePoint now) const;
-    bool isMissingRegistered(std::size_t livePeers, TimePoint now) const;
+    bool hasMissingVms(std::size_t livePeers, TimePoint now) const;
 
     TimePoint m_startedAt;
     bool m_isFirstStart;
-    std::size_t m_registered = 0;
+    std::size_t m_registeredVms = 0;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/message_age.hpp
+++ b/include/gypsumdale/entry/message_age.hpp
@@ -7,41 +7,42 @@
 
 namespace gypsumdale {
 
-/// A moment on the clock of one process, which no other can read.
+/// A time on the clock of one process, which other processes can't read.
 struct ClockMark
 {
-    /// The process's start, as a wall time in milliseconds.
+    /// Start of the process, as a wall time in milliseconds.
     WallMillis m_process = 0;
     TimePoint m_time{};
 };
 
-/// What a message says of the last one that its sender had from the receiver.
+/// Returned clock timestamp of the last message that the sender received from the receiver.
 struct ClockEcho
 {
     ClockMark m_mark;
-    /// Between the sender's hearing of the mark and its own message, on the sender's clock.
+    /// Time between receipt of the timestamp and sending of this message, on the sender's clock.
     Duration m_heldFor{};
 };
 
-/// What a message carries so that its age can be told.
+/// Fields of a message that allow its age to be computed.
 struct MessageStamp
 {
     std::optional<ClockMark> m_mark;
     std::optional<ClockEcho> m_echo;
 };
 
-/// The last mark of a peer that was heard, to be echoed.
+/// The last clock timestamp received from a peer, to be echoed.
 class LastPeerTimestamp
 {
 public:
-    /// Constant.
+    /// Complexity: constant.
     void recordReceived(const ClockMark &mark, TimePoint now)
     {
         m_mark = mark;
         m_lastReceivedAt = now;
     }
 
-    /// Returns the echo for a message that is sent now; nothing before the first mark. Constant.
+    /// Returns the echo for a message that is sent now; nothing before the first timestamp.
+    /// Complexity: constant.
     std::optional<ClockEcho> echo(TimePoint now) const
     {
         if (!m_mark)
@@ -54,13 +55,13 @@
     TimePoint m_lastReceivedAt{};
 };
 
-/// Tells messages of a peer that were overtaken by a later one: each side begins exchanges, and
-/// what was given up as late may still arrive.
+/// Detects messages of a peer that were superseded by a later one: both sides initiate exchanges,
+/// and a message that was given up as late may still arrive.
 class SupersededFilter
 {
 public:
-    /// Takes in when a message was sent. Returns false if one of the same process that was sent
-    /// later has been taken in. Constant.
+    /// Records when a message was sent. Returns false if a later message of the same process has
+    /// already been recorded. Complexity: constant.
     bool take(const ClockMark &mark)
     {
         const bool isSameProcess = m_newest && m_newest->m_process == mark.m_process;
@@ -74,8 +75,8 @@
     std::optional<ClockMark> m_newest;
 };
 
-/// Returns a moment of this process's clock after which a message was sent, however long it was
-/// under way or lay unread; nothing if it echoes no mark of this process. Constant.
+/// Returns a time on this process's clock after which a message was sent, regardless of network
+/// delay and of how long it waited to be read; nothing if it echoes no timestamp of this process.
 inline std::optional<TimePoint> sentAfter(const std::optional<ClockEcho> &echo, WallMillis process,
                                           TimePoint now)
 {
--- a/include/gypsumdale/entry/peer_table.hpp
+++ b/include/gypsumdale/entry/peer_table.hpp
@@ -17,7 +17,7 @@
 
 class FrameChannel;
 
-/// What a peer says of itself in each exchange.
+/// A peer's report about itself in each exchange.
 struct PeerState
 {
     DataCentreId m_dataCentre;
@@ -29,21 +29,21 @@
     bool m_isLeaving = false;
 };
 
-/// What this VM knows of one other.
+/// What this VM knows of another VM.
 struct KnownPeer
 {
     std::string m_node;
     std::string m_address;
-    /// For whoever exchanges with it; the table only keeps it.
+    /// Used by whoever exchanges with the peer; the table only stores it.
     std::shared_ptr<FrameChannel> m_channel;
     PeerState m_state;
     LastPeerTimestamp m_mark;
     SupersededFilter m_newestDigest;
     TimePoint m_lastReceivedAt{};
     TimePoint m_knownSince{};
-    /// When this VM last began an exchange with it in its turn.
+    /// Time of the last exchange that this VM initiated as a regular one.
     TimePoint m_begunAt{};
-    /// When this process of it was first heard.
+    /// Time of the first message received from the peer's current process.
     TimePoint m_processFirstReceivedAt{};
     bool m_isSeed = false;
     bool m_isBusy = false;
@@ -54,13 +54,13 @@
 
 using KnownPeerPointer = std::shared_ptr<KnownPeer>;
 
-/// Returns up to so many of some peers, from a place on that wraps around. Linear in those
-/// returned.
+/// Returns up to count peers, beginning at position first and wrapping around at the end.
+/// Complexity: linear in the number of peers returned.
 std::vector<KnownPeerPointer> wrappedSlice(const std::vector<KnownPeerPointer> &peers,
                                            std::size_t first, std::size_t count);
 
-/// The other VMs that this one knows, and who of them belongs to the fleet: those that were heard
-/// within half a minute.
+/// The other VMs that this one knows. Those from which a message was received within half a minute
+/// are live peers and count as part of the fleet.
 class PeerTable
 {
 public:
@@ -70,12 +70,13 @@
 
     const std::string &ownAddress() const { return m_ownAddress; }
 
-    /// Takes in an address that was told. Returns the peer if it wasn't known before, otherwise
-    /// nothing. Logarithmic in the peers.
+    /// Adds a peer at an address, unless it is known. Returns the added peer, otherwise nothing.
+    /// Complexity: logarithmic in the number of peers.
     KnownPeerPointer learn(const std::string &node, const std::string &address, bool isSeed,
                            TimePoint now);
 
-    /// Notes what a peer said. Returns whether it had been silent before. Constant.
+    /// Records a peer's report. Returns whether the peer had been silent before. Complexity:
+    /// constant.
     static bool recordReceived(KnownPeer &peer, const PeerState &state, TimePoint now);
 
     struct SilentPeer
@@ -83,55 +84,60 @@
         KnownPeerPointer m_peer;
         Duration m_silence{};
     };
-    /// Peers that have not been heard.
+    /// Peers that are silent.
     struct Silence
     {
         std::vector<SilentPeer> m_newlySilent;
-        /// Those replaced by now. Seeds among them are still called.
+        /// Peers that count as replaced. Seeds among them are still called.
         std::vector<KnownPeerPointer> m_gone;
     };
-    /// Marks those that fell silent and takes out those that are gone. Linear in the peers.
+    /// Marks newly silent peers, and removes those that count as replaced. Complexity: linear in
+    /// the number of peers.
     Silence expire(TimePoint now);
 
-    /// Tells whether a peer was heard lately enough to count as part of the fleet.
+    /// Returns whether a peer is live, so that it counts as part of the fleet.
     static bool isLivePeer(const KnownPeer &peer, TimePoint now);
     bool isLivePeer(const std::string &address, TimePoint now) const;
-    /// Returns the number of peers that are part of the fleet. Linear in the peers.
+    /// Returns the number of live peers. Complexity: linear in the number of peers.
     std::size_t livePeers(TimePoint now) const;
-    /// Takes in how many VMs the fleet should have, until they could be heard; 0 from then on.
-    void setExpected(std::size_t vms) { m_expected = vms; }
-    /// Returns the pace for the peers that are heard or expected. Linear in the peers.
+    /// Sets the number of VMs that the fleet should have until messages from them can have been
+    /// received; 0 from then on.
+    void setExpected(std::size_t vms) { m_expectedVms = vms; }
+    /// Returns the pacing for the number of live or expected peers. Complexity: linear in the
+    /// number of peers.
     ExchangePacing pace(TimePoint now) const;
 
-    /// Returns the members that don't count as silent. Linear in the peers.
+    /// Returns the live peers that are not silent. Complexity: linear in the number of peers.
     std::vector<KnownPeerPointer> respondingPeers(TimePoint now) const;
-    /// Returns those heard just now, at the pace of the fleet. Linear in the peers.
+    /// Returns the peers from which a message was received within the silence limit of the fleet.
+    /// Complexity: linear in the number of peers.
     std::vector<KnownPeerPointer> recentPeers(TimePoint now) const;
-    /// Returns for how long the member that said its last word first has been silent; nothing is
-    /// expected of one that left. Linear in the peers.
+    /// Returns the longest time for which a live peer has sent nothing. Peers that are shutting
+    /// down are ignored. Complexity: linear in the number of peers.
     Duration longestSilence(TimePoint now) const;
 
-    /// Returns those with whom it is this VM's turn to begin an exchange. Linear in the peers.
+    /// Returns the peers with which this VM is to initiate an exchange. Complexity: linear in the
+    /// number of peers.
     std::vector<KnownPeerPointer> duePeers(TimePoint now) const;
-    /// Returns those of them to begin with at this exchange time, and notes that: in a large fleet
-    /// as many each time, so that a VM never exchanges with half of the fleet at one moment and
-    /// keeps its callers waiting. Linear in the peers, and sorts those that are due.
+    /// Selects the peers to exchange with now, and records that. In a large fleet it selects an
+    /// equal share each time, as exchanging with half of the fleet at once would delay the requests
+    /// of callers. Complexity: linear in the number of peers, plus a sort of those that are due.
     std::vector<KnownPeerPointer> selectDuePeers(TimePoint now);
-    /// Returns up to so many that are not asked yet, others at each call.
+    /// Returns up to count peers without a pending exchange, different ones at each call.
     std::vector<KnownPeerPointer> selectOutOfTurn(std::size_t count);
 
-    /// Returns the peer at an address, or nothing. Logarithmic in the peers.
+    /// Returns the peer at an address, or nothing. Complexity: logarithmic in the number of peers.
     KnownPeerPointer find(const std::string &address) const;
     const std::map<std::string, KnownPeerPointer> &peers() const { return m_peers; }
 
 private:
-    bool begins(const KnownPeer &peer, Duration silence, TimePoint now) const;
+    bool initiates(const KnownPeer &peer, Duration silence, TimePoint now) const;
 
     std::string m_ownAddress;
     /// By address.
     std::map<std::string, KnownPeerPointer> m_peers;
-    std::size_t m_nextAsked = 0;
-    std::size_t m_expected = 0;
+    std::size_t m_nextOutOfTurn = 0;
+    std::size_t m_expectedVms = 0;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/peer_wire.hpp
+++ b/include/gypsumdale/entry/peer_wire.hpp
@@ -14,24 +14,25 @@
 
 namespace gypsumdale {
 
-/// Writes down what this VM has in flight at an upstream.
+/// Encodes this VM's load at an upstream.
 entrywire::UpstreamLoad encodeLoad(const UpstreamId &upstream, const InFlightLoad &load);
-InFlightLoad loadOf(const entrywire::UpstreamLoad &told);
+InFlightLoad loadOf(const entrywire::UpstreamLoad &encoded);
 
-/// Writes down what the traffic thread reported last. Of the usage windows the last few are told.
+/// Encodes the last report of the traffic thread into a digest. Of the usage windows only the last
+/// few are included.
 void fillReport(const TrafficReport &report, entrywire::EntryDigest &digest);
 
-/// Writes down what processes counted that ended, but not what the receiver counted itself.
+/// Encodes the counts of ended processes into a digest, except those of the receiver's own process.
 void fillEnded(const std::vector<EndedProcessUsage> &ended, const std::string &receiver,
                entrywire::EntryDigest &digest);
 
-/// Reads what a peer reported; its wall time is compared with this VM's.
+/// Decodes a peer's report. Its wall time is compared with this VM's.
 PeerReport decodeReport(const entrywire::EntryDigest &digest, WallMillis ownWall);
 
-/// Reads what a peer says of itself.
+/// Decodes a peer's report about itself.
 PeerState stateOf(const entrywire::EntryDigest &digest);
 
-/// Write and read what a message carries so that its age can be told.
+/// Encode and decode the fields of a message that allow its age to be computed.
 void writeStamp(const MessageStamp &stamp, entrywire::EntryExchange &message);
 MessageStamp readStamp(const entrywire::EntryExchange &message);
 
--- a/include/gypsumdale/entry/registry_expiry.hpp
+++ b/include/gypsumdale/entry/registry_expiry.hpp
@@ -9,15 +9,16 @@
 
 namespace gypsumdale {
 
-/// Since when each VM of the registry has not been heard, as seen by this one.
+/// Records since when each VM in the registry has been silent, as seen by this VM.
 class RegistryExpiry
 {
 public:
-    /// Silence after which a VM's entry is removed: well beyond any restart or cut.
+    /// Silence after which a VM's entry is removed: much longer than a restart or a network
+    /// partition takes.
     static constexpr Duration removalTimeout = std::chrono::seconds(120);
 
-    /// Notes an entry that was read, and whether its VM is heard. Returns whether it is gone.
-    /// Logarithmic in the entries.
+    /// Records an entry that was read, and whether its VM is a live peer. Returns whether the entry
+    /// is to be removed. Complexity: logarithmic in the number of entries.
     bool recordEntry(const NodeId &node, bool isHeard, TimePoint now)
     {
         const auto silentSince = m_silentSince.try_emplace(node, now).first;
@@ -26,10 +27,11 @@
         return now - silentSince->second >= removalTimeout;
     }
 
-    /// Forgets an entry, so that its VM has the whole time again if it comes back.
+    /// Drops an entry, so that its VM has the full time again if it returns.
     void forget(const NodeId &node) { m_silentSince.erase(node); }
 
-    /// Forgets all that the registry doesn't list any more. Linear in the entries.
+    /// Drops all entries that the registry no longer lists. Complexity: linear in the number of
+    /// entries.
     void retainListed(const std::set<NodeId> &listed)
     {
         std::erase_if(m_silentSince,
--- a/include/gypsumdale/entry/startup_knowledge.hpp
+++ b/include/gypsumdale/entry/startup_knowledge.hpp
@@ -4,10 +4,12 @@
 
 namespace gypsumdale {
 
-/// What a process that has just started knows of all that requests are decided on. After a power
-/// cut callers come back as soon as a VM takes their connections, some milliseconds before the
-/// store has told it anything. Sent away, they are late, and one that comes back a single time may
-/// be lost; kept for that moment they are served.
+/// Tracks which of the data needed for decisions about requests a newly started process has
+/// received.
+///
+/// After a power failure callers return as soon as a VM accepts their connections, some
+/// milliseconds before the store has sent it anything. If refused, their requests are late, and a
+/// request that is retried only once may be lost; if held for that moment, they are served.
 class StartupKnowledge
 {
 public:
@@ -15,26 +17,26 @@
         : m_startedAt(startedAt)
     {}
 
-    void recordConfiguration() { m_knowsConfiguration = true; }
-    void recordUpstreams() { m_knowsUpstreams = true; }
+    void recordConfiguration() { m_hasConfiguration = true; }
+    void recordUpstreams() { m_hasUpstreams = true; }
 
-    /// Tells whether a request should wait for what is not known yet. One that comes later than the
-    /// store needs is answered at once: another VM may know more.
+    /// Returns whether a request should wait for missing data. One that arrives after the store
+    /// should have answered isn't held: another VM may be able to serve it.
     bool shouldWaitForStartup(TimePoint now) const
     {
-        const bool isComplete = m_knowsConfiguration && m_knowsUpstreams;
-        return !isComplete && now < m_startedAt + learningTime;
+        const bool isComplete = m_hasConfiguration && m_hasUpstreams;
+        return !isComplete && now < m_startedAt + maxWait;
     }
 
 private:
-    /// The store's answers are there 8 to 25 ms after the start, on a VM that starts among all
-    /// others. The shortest latency targets are 100 ms: kept for longer than that, a request would
-    /// be late whatever comes.
-    static constexpr Duration learningTime = std::chrono::milliseconds(100);
+    /// The store's answers arrive 8 to 25 ms after the start when all VMs start at once. The
+    /// shortest latency targets are 100 ms: a request held longer than that would be late in any
+    /// case.
+    static constexpr Duration maxWait = std::chrono::milliseconds(100);
 
     TimePoint m_startedAt;
-    bool m_knowsConfiguration = false;
-    bool m_knowsUpstreams = false;
+    bool m_hasConfiguration = false;
+    bool m_hasUpstreams = false;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/store_role.hpp
+++ b/include/gypsumdale/entry/store_role.hpp
@@ -4,19 +4,20 @@
 
 namespace gypsumdale {
 
-/// How a VM learns what the store holds.
+/// How a VM learns the store's content.
 enum class StoreRole {
-    /// Reads for itself: the fleet is small, or nobody is known to read for this VM.
+    /// Reads for itself: the fleet is small, or no reader is known for this VM.
     Alone,
-    /// Reads for itself and tells the others of its data centre.
+    /// Reads for itself and sends updates to the followers of its data centre.
     Reader,
-    /// Is told by the readers of its data centre, and reads when it isn't.
+    /// Receives updates from the readers of its data centre, and reads for itself when it receives
+    /// none.
     Follower,
 };
 
-/// Tells whether a VM in this role renews the lease of the duties or may take it over. In a large
-/// fleet only the store's readers may: the others hear of the holder less often than it renews, and
-/// each of them would read the lease in every term.
+/// Returns whether a VM in this role renews the lease of the duties or may take it over. In a large
+/// fleet only the store's readers may: the others receive the holder's reports less often than it
+/// renews, and each of them would read the lease in every term.
 inline bool contendsForLease(StoreRole role, bool holdsLease)
 {
     return role != StoreRole::Follower || holdsLease;
--- a/include/gypsumdale/entry/text_fetch.hpp
+++ b/include/gypsumdale/entry/text_fetch.hpp
@@ -11,92 +11,95 @@
 
 namespace gypsumdale {
 
-/// A peer that says which version of a text it holds.
+/// A peer that reports which version of a text it holds.
 struct TextSource
 {
     std::string m_address;
     std::int64_t m_version = 0;
 };
 
-/// What a VM knows when it decides whether to ask a peer for a whole text.
+/// What a VM's decision to request a full text from a peer is based on.
 struct TextFetchState
 {
-    /// The version that it holds; 0 if it has none.
+    /// The version that the VM holds; 0 if it has none.
     std::int64_t m_ownVersion = 0;
-    /// The store didn't answer the last reading.
+    /// Whether the last read of the store failed.
     bool m_isStoreLost = false;
-    /// How long the store, while it isn't known to be lost, has to bring what a peer tells of;
-    /// nothing to leave it to the store alone.
+    /// Time that the store, while it isn't known to be lost, has to provide a version that a peer
+    /// reported; nothing to wait for the store without limit.
     std::optional<Duration> m_storeHeadStart;
 };
 
-/// Decides when a VM asks a peer for a whole text, a configuration or a list of upstreams, and
-/// whom.
+/// Decides when a VM requests a full text, a configuration or a list of upstreams, from a peer, and
+/// from which one.
 ///
-/// A text of half a megabyte takes a link of 10 Mbit/s for 400 ms. Two at once take twice as long
-/// each, and whoever gives up and begins anew keeps the link full for good. So the store comes
-/// first, one peer is asked at a time, and after a failure another one, after a pause that grows.
+/// A text of half a megabyte occupies a link of 10 Mbit/s for 400 ms. Two at once take twice as
+/// long each, and retrying after a timeout keeps the link full permanently. So the store comes
+/// first, only one peer is asked at a time, and after a failure a different one is asked, with a
+/// backoff.
 ///
-/// Knows no network and no clock of its own; called from one thread.
+/// Has no network or clock of its own. Used by one thread.
 class TextFetch
 {
 public:
-    /// Pause after the first failure, before jitter.
+    /// Backoff after the first failure, before jitter.
     static constexpr Duration initialBackoff = std::chrono::milliseconds(100);
     static constexpr Duration maxBackoff = std::chrono::milliseconds(1000);
 
-    /// The seed is to differ between VMs, so that they don't ask the same peer at one moment.
+    /// The seed should differ between VMs, so that they don't ask the same peer at the same time.
     explicit TextFetch(std::uint64_t seed)
         : m_random(seed)
     {}
 
-    /// Returns whom to ask now, if anybody, and notes that it is asked. The sources are peers that
-    /// were heard lately; those that hold no later version than this VM don't count. Linear.
-    std::optional<std::string> begin(const TextFetchState &need,
+    /// Returns the address of the peer to ask now, if any, and records the request. The sources are
+    /// peers that have reported recently; those that hold no later version than this VM are
+    /// ignored. Complexity: linear in the number of sources.
+    std::optional<std::string> begin(const TextFetchState &state,
                                      const std::vector<TextSource> &sources, TimePoint now);
 
-    /// Notes that the peer asked brought the text. Constant.
+    /// Records that the peer sent the text. Complexity: constant.
     void onFetched();
-    /// Notes that it didn't, or that it was busy. Constant.
+    /// Records that the peer did not send the text, or was busy. Complexity: constant.
     void onFailed(TimePoint now);
 
     bool isUnderWay() const { return m_isUnderWay; }
 
 private:
-    bool isLeftToStore(const TextFetchState &need, TimePoint now);
-    Duration nextPause();
+    bool waitsForStore(const TextFetchState &state, TimePoint now);
+    Duration nextBackoff();
 
     pcg32 m_random;
     bool m_isUnderWay = false;
-    /// Asked last; asked again only if there is nobody else.
+    /// Address of the peer asked last, which is asked again only if it is the only one.
     std::string m_lastAsked;
     int m_failures = 0;
-    TimePoint m_pausedUntil{};
-    /// Since when a peer is known to hold a later version.
+    TimePoint m_backoffUntil{};
+    /// Time since which a peer is known to hold a later version.
     std::optional<TimePoint> m_behindSince;
-    /// The own version as of then.
-    std::int64_t m_behindAt = 0;
+    /// The own version at that time.
+    std::int64_t m_behindVersion = 0;
 };
 
-/// Lets a VM send only a few whole texts at a time; who asks beyond that is told to ask another.
+/// Limits the number of full texts that a VM sends at the same time. Further requests are answered
+/// with the advice to ask another peer.
 class TextSendLimiter
 {
 public:
-    /// Two links' worth of one VM's: more at once would only make each of them slower.
+    /// A second text halves the speed of each; more than two would only slow all of them further.
     static constexpr int maxConcurrentSends = 2;
 
-    /// Returns whether one more may be sent, and counts it. Constant.
+    /// Returns whether one more text may be sent, and counts it. Complexity: constant.
     bool tryBegin()
     {
-        if (m_underWay >= maxConcurrentSends)
+        if (m_activeSends >= maxConcurrentSends)
             return false;
-        ++m_underWay;
+        ++m_activeSends;
         return true;
     }
-    void end() { --m_underWay; }
+    void end() { --m_activeSends; }
 
 private:
-    int m_underWay = 0;
+    int m_activeSends = 0;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/update_pacing.hpp
+++ b/include/gypsumdale/entry/update_pacing.hpp
@@ -8,69 +8,69 @@
 
 namespace gypsumdale {
 
-/// What a reader has to tell its followers.
+/// State that a reader reports to its followers.
 struct UpdateState
 {
-    /// The newest change of the upstreams, counted by the reader.
+    /// Number of the newest change of the upstreams, as counted by the reader.
     std::int64_t m_change = 0;
     std::int64_t m_configVersion = 0;
-    /// When the reader last read: its word is as fresh as that.
+    /// Time of the reader's last read. Its updates are as recent as that.
     TimePoint m_readAt{};
 
     bool operator==(const UpdateState &) const = default;
 };
 
-/// Decides when a reader tells its followers. Called from one thread.
+/// Decides when a reader sends updates to its followers. Used by one thread.
 class UpdatePacing
 {
 public:
-    /// How often the reader looks.
+    /// Interval at which the reader checks whether an update is due.
     static constexpr Duration tick = std::chrono::milliseconds(100);
-    /// How often followers are told though nothing changed: three times within the shortest time
-    /// after which they read for themselves.
+    /// Interval of updates without changes: a third of the shortest time after which followers read
+    /// for themselves.
     static constexpr Duration updateInterval = std::chrono::milliseconds(500);
     /// Longest wait for a follower's receipt.
     static constexpr Duration receiptTimeout = std::chrono::milliseconds(600);
 
-    /// Constant.
+    /// Complexity: constant.
     bool isDue(const UpdateState &state, TimePoint now) const
     {
-        return m_told != state || now - m_toldAt >= updateInterval;
+        return m_sent != state || now - m_sentAt >= updateInterval;
     }
 
-    /// Constant.
+    /// Complexity: constant.
     void recordSent(const UpdateState &state, TimePoint now)
     {
-        m_told = state;
-        m_toldAt = now;
+        m_sent = state;
+        m_sentAt = now;
     }
 
 private:
-    UpdateState m_told;
-    TimePoint m_toldAt{};
+    UpdateState m_sent;
+    TimePoint m_sentAt{};
 };
 
-/// Decides when a follower that gives no receipts is told the whole list again: each time fills its
-/// link a little more. Called from one thread.
+/// Backoff for a follower that sends no receipts: each full list that is sent to it loads its link
+/// further. Used by one thread.
 class ReceiptBackoff
 {
 public:
     static constexpr Duration initialBackoff = std::chrono::milliseconds(250);
-    /// A follower that isn't told reads the store after half of the bound, which is longer.
+    /// Shorter than half of the age limit, after which a follower without updates reads the store.
     static constexpr Duration maxBackoff = std::chrono::milliseconds(1000);
 
-    /// Constant.
+    /// Complexity: constant.
     bool isOver(TimePoint now) const { return now >= m_until; }
     void onMissed(TimePoint now)
     {
-        m_until = now + m_next;
-        m_next = std::min(2 * m_next, maxBackoff);
+        m_until = now + m_nextDelay;
+        m_nextDelay = std::min(2 * m_nextDelay, maxBackoff);
     }
     void onApplied() { *this = ReceiptBackoff(); }
 
 private:
     TimePoint m_until{};
-    Duration m_next = initialBackoff;
+    Duration m_nextDelay = initialBackoff;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/entry/upstream_client.hpp
+++ b/include/gypsumdale/entry/upstream_client.hpp
@@ -5,8 +5,8 @@
 
 namespace gypsumdale {
 
-/// Calls upstreams as HttpClient does, and counts what is sent to them and which connections don't
-/// come about.
+/// Calls upstreams through HttpClient, and counts the bytes sent to them and failed connection
+/// attempts.
 class UpstreamClient
 {
 public:
@@ -15,10 +15,10 @@
         , m_metrics(metrics)
     {}
 
-    /// As HttpClient::open().
+    /// Same as HttpClient::open().
     CallResult<HttpExchange> open(const HttpCall &call);
 
-    /// As HttpClient::call().
+    /// Same as HttpClient::call().
     CallResult<HttpReply> call(const HttpCall &call);
 
 private:
--- a/include/gypsumdale/entry/upstream_list_sync.hpp
+++ b/include/gypsumdale/entry/upstream_list_sync.hpp
@@ -13,17 +13,17 @@
 
 namespace gypsumdale {
 
-/// The list needs no reading for this long.
+/// Nothing is to be read for this time.
 struct IdleStep
 {
     Duration m_time{};
 };
 
-/// All upstreams are to be read from the store.
+/// The full list is to be read from the store.
 struct ListStep
 {};
 
-/// The store is to be asked for changes after a revision, and may wait so long for one.
+/// Changes after a revision are to be read from the store, which may wait this long for one.
 struct WatchStep
 {
     std::int64_t m_revision = 0;
@@ -32,89 +32,96 @@
 
 using SyncStep = std::variant<IdleStep, ListStep, WatchStep>;
 
-/// Why a reading brought nothing.
+/// Why a read failed.
 enum class ReadFailure {
     Unanswered,
-    /// The store has dropped the history behind the revision.
+    /// The store has dropped its history of changes since the revision.
     HistoryGone,
 };
 
-/// Decides how a VM follows the upstreams' entries: when it reads the store itself, how long that
-/// waits, and what it takes from the store, from a reader of its data centre or from a peer.
+/// Decides how a VM follows the upstreams' entries: when it reads the store itself, how long such a
+/// read waits, and what it applies from the store, from a reader of its data centre or from a peer.
 ///
-/// It answers two loads. In a large fleet each VM that reads would pay for every change, so that a
-/// follower goes by what readers tell and reads only once it was not told for half of the bound.
-/// And upstreams write all the time, so that a watch answers at once: pauses let changes collect.
+/// This limits two kinds of load. In a large fleet every VM that reads would be charged for every
+/// change; a follower therefore uses the updates of readers, and reads only if it received none for
+/// half of the age limit. And upstreams write all the time, so that a watch returns at once: delays
+/// between watches let changes collect.
 ///
-/// Knows no network and no clock of its own; called from one thread.
+/// Has no network or clock of its own. Used by one thread.
 class UpstreamListSync
 {
 public:
     /// Keeps a reference to the bounds, which a reload may change.
     explicit UpstreamListSync(const EntryBounds &bounds);
 
-    /// Says how this VM learns the list from now on.
+    /// Sets how this VM learns the list from now on.
     void setRole(StoreRole role) { m_role = role; }
 
-    /// Returns what to do next. After a reading, delayAfterRead comes first. Constant.
+    /// Returns the next step. After a read, delayAfterRead() is to be waited first. Complexity:
+    /// constant.
     SyncStep next(TimePoint now) const;
     Duration delayAfterRead(TimePoint now) const;
 
-    /// Take in what a reading brought. Return false if a peer told of a later revision meanwhile,
-    /// which the answer would undo. Linear.
+    /// Apply the result of a read. Return false if a later revision was received from a peer
+    /// meanwhile, which the result would revert. Complexity: linear in the number of entries.
     bool applyListing(UpstreamList list, TimePoint sentAt, TimePoint now);
     bool applyChanges(const std::vector<UpstreamChange> &changes, std::int64_t revision,
                       const WatchTimes &times);
     void noteFailed(ReadFailure failure);
 
-    /// Takes the list that a peer read, if the own one has gone stale. Returns whether it was
-    /// taken. Linear.
+    /// Replaces the list with one that a peer read, if the own list is stale. Returns whether it
+    /// was replaced. Complexity: linear in the number of entries.
     bool applyFromPeer(UpstreamList list, const ReportedAge &age, TimePoint now);
-    /// Takes what a reader of this data centre tells. Linear.
+    /// Applies an update of a reader of this data centre. Complexity: linear in the number of
+    /// changes.
     UpstreamFeed::ApplyResult receiveUpdate(const UpstreamListUpdate &news, const ReportedAge &age,
                                             TimePoint now);
 
-    /// Drops entries whose time to come back is over. Returns true if any was. Linear.
+    /// Removes retained entries whose retention is over. Returns whether any was removed.
+    /// Complexity: linear in the number of entries.
     bool expire(TimePoint now) { return m_feed.expire(now); }
 
     const UpstreamFeed &feed() const { return m_feed; }
-    /// A moment at which the store surely had nothing that the list lacks.
+    /// Returns the latest time at which the store is known to have had no changes that the list is
+    /// missing.
     TimePoint confirmedAt() const { return m_confirmation.at(); }
-    /// What a placement may go by.
+    /// Returns what is known of the list's age, for placements.
     ListConfirmation standing() const
     {
-        // A store that has dropped the history has answered: there is a newer list to be had.
+        // A store that dropped its history has answered, so a newer list is available from it.
         return {m_confirmation.at(), m_isStoreLost && !m_isHistoryGone};
     }
-    /// When the last reading that was answered had been sent.
+    /// Returns when the last read that was answered had been sent.
     TimePoint readAt() const { return m_readAt; }
     Duration age(TimePoint now) const;
-    /// Tells whether the store has not confirmed the list for so long that a peer's is better.
+    /// Returns whether the store's last confirmation of the list is so old that a peer's list is
+    /// preferred.
     bool isStale(TimePoint now) const { return age(now) > staleAfter; }
 
 private:
-    /// Longer than a watch and the pause after it take.
+    /// Longer than a watch and the delay after it take.
     static constexpr Duration staleAfter = std::chrono::milliseconds(1600);
 
-    /// Half of the bound: a list that is older is to be read at once.
-    Duration patience() const;
-    Duration toldLimit() const;
-    bool isTold(TimePoint now) const;
+    /// Half of the age limit: an older list is to be read at once.
+    Duration readAgeLimit() const;
+    Duration updateAgeLimit() const;
+    bool hasRecentUpdate(TimePoint now) const;
     Duration watchWait(TimePoint now) const;
-    void noteAnswered(TimePoint sentAt);
-    bool mustList() const;
-    bool isOvertaken(std::int64_t revision) const { return revision < m_feed.revision(); }
+    void recordAnswered(TimePoint sentAt);
+    bool mustReadFullList() const;
+    bool isSuperseded(std::int64_t revision) const { return revision < m_feed.revision(); }
 
     const EntryBounds &m_bounds;
     UpstreamFeed m_feed;
     Confirmation m_confirmation;
     TimePoint m_readAt{};
     StoreRole m_role = StoreRole::Alone;
-    /// The store refused to tell what changed after this revision. Nobody's word of it, or of an
-    /// earlier one, ends that: only a later list does, or the listing.
+    /// Revision since which the store refused to return changes. No report of this or an earlier
+    /// revision clears it, only a later list or a full read.
     std::optional<std::int64_t> m_refusedRevision;
     bool m_isStoreLost = false;
-    /// The last reading was a watch that the store refused: it is known to have more to tell.
+    /// The last read was a watch that the store refused because of dropped history: the store is
+    /// known to have later changes.
     bool m_isHistoryGone = false;
 };
 
--- a/src/entry/entry_call.cpp
+++ b/src/entry/entry_call.cpp
@@ -7,25 +7,28 @@
 
 namespace {
 
-/// A new connection takes a round trip; past this its upstream is gone or cut off.
+/// A new connection takes a round trip. After this time the upstream counts as stopped or
+/// unreachable.
 constexpr Duration connectTimeout = std::chrono::milliseconds(250);
-/// Upstreams that don't accept a connection are passed over this often.
-constexpr int mostConnectFailures = 4;
-/// A request that may repeat is given up at an upstream that has not begun to answer after this
-/// many times the latency target.
-constexpr int patienceInTargets = 3;
-/// Clocks of two machines differ by less than this when neither has jumped; an upstream is down for
-/// longer than this when it crashes.
+/// Limit of failed connection attempts of one request.
+constexpr int maxConnectFailures = 4;
+/// A repeatable request is given up at an upstream that has not started to answer after this many
+/// times the latency target.
+constexpr int firstAnswerTargets = 3;
+/// Larger than the difference between two machines' clocks when neither has jumped; a crashed
+/// upstream is down for longer than this.
 constexpr Duration restartMargin = std::chrono::milliseconds(1000);
-/// A prompt is read alone if what others wait for there is less than this part of it.
-constexpr std::int64_t mostBesides = 10;
-/// Part of a pause that prompts are let to fill, as long ones are read more slowly than others.
-constexpr double pauseUsed = 0.6;
+/// A prompt counts as read alone if the other pending prompt tokens are less than this fraction
+/// (1/n) of it.
+constexpr std::int64_t aloneDivisor = 10;
+/// Part of a pause that prompts are planned to fill, as long prompts are read more slowly than
+/// others.
+constexpr double pauseUtilization = 0.6;
 constexpr int highestPriority = 9;
-/// Room for the routes' priorities within one priority of accounts.
+/// Number of route priorities within one account priority.
 constexpr int routePriorities = 3;
 
-/// An account's priority goes before the route's, which decides within it.
+/// The account's priority comes first; the route's decides within it.
 int priorityOf(const ServingRoute &route, const ClientAccount *account)
 {
     if (!account || !account->m_priority)
@@ -47,14 +50,14 @@
 
 void EntryCall::run()
 {
-    awaitKnowledge();
+    awaitStartupData();
     if (!resolve())
         return;
-    drawService();
-    // What is rejected for want of room is not taken from the account's quota.
-    if (!hasRoomInTime() || !admitByQuota())
+    selectService();
+    // A request rejected for lack of capacity doesn't use the account's quota.
+    if (!canMeetDeadline() || !admitByQuota())
         return;
-    const EntryTraffic::CallRegistration underWay = m_traffic.registerCall(*this);
+    const EntryTraffic::CallRegistration registration = m_traffic.registerCall(*this);
     m_responder.onCallerGone([this] {
         m_isCallerGone = true;
         m_cancellation->cancel();
@@ -65,7 +68,7 @@
 
 void EntryCall::cancelForShutdown()
 {
-    m_isStopping = true;
+    m_isShuttingDown = true;
     m_cancellation->cancel();
 }
 
@@ -80,30 +83,30 @@
     if (m_route->m_kind == RouteRepeatSafety::Stream)
         serveStream();
     else
-        serveWhole();
+        serveBuffered();
 }
 
-/// Tells why the request is not sent (again), or nothing if it may be.
-std::optional<AttemptStop> EntryCall::whyNoFurtherAttempt(bool isFirst)
+/// Returns why the request may not be sent (again), or nothing if it may.
+std::optional<AttemptStop> EntryCall::attemptStopReason(bool isFirst)
 {
     if (m_isCallerGone)
         return AttemptStop::CallerGone;
-    if (m_isStopping)
+    if (m_isShuttingDown)
         return AttemptStop::Stopping;
-    if (timeLeft() < leastTimeLeft) {
-        m_timedOut = m_timedOut || m_mayHaveRun > 0;
+    if (timeLeft() < minTimeLeft) {
+        m_timedOut = m_timedOut || m_possibleRuns > 0;
         return AttemptStop::DeadlinePassed;
     }
     if (isFirst)
         return std::nullopt;
-    if (m_mayHaveRun > 0 && !m_route->isRetryable())
+    if (m_possibleRuns > 0 && !m_route->isRetryable())
         return AttemptStop::NotAllowed;
-    if (m_mayHaveRun >= m_route->m_maxAttempts || m_connectFailures >= mostConnectFailures)
+    if (m_possibleRuns >= m_route->m_maxAttempts || m_connectFailures >= maxConnectFailures)
         return AttemptStop::NotAllowed;
     return std::nullopt;
 }
 
-HttpCall EntryCall::callFor(const PooledUpstream &upstream) const
+HttpCall EntryCall::buildCall(const PooledUpstream &upstream) const
 {
     platform::Forwarding forwarding;
     forwarding.m_timeLeft = timeLeft();
@@ -121,10 +124,11 @@
     call.m_headers = platform::upstreamHeaders(m_request.m_headers, forwarding);
     call.m_body = m_request.m_body;
     call.m_connectTimeout = std::min(connectTimeout, timeLeft());
-    call.m_headerTimeout = firstAnswerLimit();
+    call.m_headerTimeout = firstAnswerTimeout();
     call.m_silenceTimeout = timeLeft();
-    // A kept connection may have died unseen, may bring a late answer to another request, or close
-    // under this one, which then may or may not have run. A new one has none of these faults.
+    // A kept-alive connection may be dead without notice, may deliver a late answer to another
+    // request, or may close during this one, which then may or may not have run. A new connection
+    // has none of these faults.
     call.m_freshConnection = true;
     call.m_closeAfter = true;
     call.m_acceptsUnframed = true;
@@ -132,22 +136,22 @@
     return call;
 }
 
-/// Returns how long an upstream may take to begin its answer.
-Duration EntryCall::firstAnswerLimit() const
+/// Returns the deadline for the start of an upstream's answer.
+Duration EntryCall::firstAnswerTimeout() const
 {
     const Duration left = timeLeft();
-    const bool canRepeat = m_route->isRetryable() && m_mayHaveRun + 1 < m_route->m_maxAttempts;
+    const bool canRepeat = m_route->isRetryable() && m_possibleRuns + 1 < m_route->m_maxAttempts;
     if (!canRepeat)
         return left;
-    return std::min(left, patienceInTargets * m_route->m_latencyTarget);
+    return std::min(left, firstAnswerTargets * m_route->m_latencyTarget);
 }
 
-/// Sends the request to one upstream after the other until one begins to answer it.
-EntryCall::Opening EntryCall::openAnswer()
+/// Sends the request to one upstream after the other until one starts to answer it.
+EntryCall::AttemptOutcome EntryCall::awaitAnswer()
 {
     for (;;) {
-        const bool isFirst = m_arrivals == 0 && m_connectFailures == 0;
-        if (const auto stop = whyNoFurtherAttempt(isFirst))
+        const bool isFirst = m_deliveredAttempts == 0 && m_connectFailures == 0;
+        if (const auto stop = attemptStopReason(isFirst))
             return *stop;
         const std::optional<TimePoint> until = m_traffic.placementDeadline();
         if (!until) {
@@ -160,9 +164,9 @@
         const PooledUpstreamPointer upstream = m_traffic.pool().choose(request, m_traffic.now());
         if (!upstream)
             return AttemptStop::NoUpstream;
-        if (m_arrivals > 0 && !m_traffic.allowance().tryTake(m_service, m_traffic.now()))
+        if (m_deliveredAttempts > 0 && !m_traffic.allowance().tryTake(m_service, m_traffic.now()))
             return AttemptStop::NotAllowed;
-        m_tried.insert(upstream->m_record.m_id);
+        m_triedUpstreams.insert(upstream->m_record.m_id);
         logPlaced(*upstream, *until);
         const bool isAlone = readsAlone(*upstream);
         InFlightGuard hold(upstream, m_caller.m_promptTokens);
@@ -174,43 +178,43 @@
                 send(hold, std::make_shared<PlacementCallDeadline>(
                                    m_traffic, *until, DeadlineRenewal::OnConfirmation));
         if (const auto *failure = std::get_if<CallFailure>(&opened)) {
-            noteFailure(hold, *failure);
+            recordAttemptFailure(hold, *failure);
             continue;
         }
-        ++m_arrivals;
+        ++m_deliveredAttempts;
         auto &exchange = std::get<HttpExchange>(opened);
-        if (!takes(exchange, *upstream))
+        if (!acceptsAnswer(exchange, *upstream))
             continue;
-        return OpenAnswer{std::move(exchange), std::move(hold),
-                          isAlone ? std::optional(sentAt) : std::nullopt};
+        return UpstreamAnswer{std::move(exchange), std::move(hold),
+                              isAlone ? std::optional(sentAt) : std::nullopt};
     }
 }
 
-/// Tells whether hardly any other prompt is still to be read at an upstream, as far as is known.
+/// Returns whether an upstream has, as far as is known, hardly any other prompt left to read.
 bool EntryCall::readsAlone(const PooledUpstream &upstream) const
 {
     return m_caller.m_promptTokens > 0
-           && upstream.pendingTokens() * mostBesides < m_caller.m_promptTokens;
+           && upstream.pendingTokens() * aloneDivisor < m_caller.m_promptTokens;
 }
 
-/// Sends the request to an upstream. The attempt ends as broken as soon as the upstream is known to
-/// have started again after that: a connection to the process before may stay silent for good where
-/// it was cut off as it crashed, and its caller would wait in vain until the deadline. It ends as
-/// well where the request has not arrived within the term of its placement.
+/// Sends the request to an upstream. The attempt fails as soon as the upstream is known to have
+/// restarted since: a connection to the previous process may stay silent permanently if the
+/// upstream was partitioned when it crashed, and the caller would wait until the deadline. The
+/// attempt also fails if the request has not arrived by its placement deadline.
 CallResult<HttpExchange> EntryCall::send(InFlightGuard &hold,
                                          const std::shared_ptr<PlacementCallDeadline> &term)
 {
     m_cancellation = std::make_shared<CallCancellation>();
-    if (m_isCallerGone || m_isStopping)
+    if (m_isCallerGone || m_isShuttingDown)
         m_cancellation->cancel();
     const WallMillis sentAt = m_traffic.wallNow();
     hold.onReplaced([cancellation = m_cancellation, sentAt](std::int64_t startedAt) {
-        // What was sent about the time of the start may run in the new process.
+        // A request sent around the time of the start may run in the new process.
         if (sentAt + wholeMillis(restartMargin) < startedAt)
             cancellation->cancel();
     });
     hold.onLeaving([term] { term->noteLeaving(); });
-    HttpCall call = callFor(hold.upstream());
+    HttpCall call = buildCall(hold.upstream());
     call.m_term = term;
     return m_traffic.client().open(call);
 }
@@ -225,15 +229,15 @@
     placement.m_sharedTokens = m_caller.m_sharedTokens;
     const Duration pause = m_view->shortestPause(m_service);
     placement.m_readingSpeed = m_traffic.tokensWithin(m_service, std::chrono::seconds(1));
-    placement.m_maxPauseTokens = pauseUsed * m_traffic.tokensWithin(m_service, pause);
+    placement.m_maxPauseTokens = pauseUtilization * m_traffic.tokensWithin(m_service, pause);
     if (m_route->m_hasPrefixAffinity)
         placement.m_affinityKey = m_caller.m_lastSharedPart;
-    placement.m_excluded = m_tried;
+    placement.m_excluded = m_triedUpstreams;
     return placement;
 }
 
-/// Tells whether an answer that began may be passed on, and notes whether the request may have run.
-bool EntryCall::takes(const HttpExchange &exchange, PooledUpstream &upstream)
+/// Returns whether a started answer may be forwarded, and records whether the request may have run.
+bool EntryCall::acceptsAnswer(const HttpExchange &exchange, PooledUpstream &upstream)
 {
     const platform::AnswerTraits traits =
             platform::decodeAnswer(exchange.status(), exchange.headers(), m_caller.m_id);
@@ -244,7 +248,7 @@
                 {m_caller.m_id, upstream.m_record.m_id, {LogField::Status, exchange.status()}});
         return false;
     }
-    ++m_mayHaveRun;
+    ++m_possibleRuns;
     const bool isUnsignedSuccess = exchange.status() / 100 == 2 && !traits.m_isSigned;
     if (traits.m_isToThisRequest && !isUnsignedSuccess)
         return true;
@@ -255,49 +259,50 @@
     return false;
 }
 
-/// Names the limit that an attempt reached, for the log.
-std::string_view EntryCall::passedLimit(const CallFailure &failure) const
+/// Returns the name of the limit that an attempt exceeded, for the log.
+std::string_view EntryCall::exceededLimit(const CallFailure &failure) const
 {
     if (failure.m_error.m_id == ErrorId::TermOver)
         return "term";
     if (failure.m_error.m_id != ErrorId::UpstreamSilent)
         return "none";
-    if (timeLeft() < leastTimeLeft)
+    if (timeLeft() < minTimeLeft)
         return "deadline";
     return m_events > 0 ? "pause" : "first-answer";
 }
 
-/// Tells whether an attempt ended by this process's own stop, for which its upstream isn't blamed.
-bool EntryCall::isGivenUpHere(const CallFailure &failure) const
+/// Returns whether an attempt ended because this process is shutting down, which isn't counted
+/// against its upstream.
+bool EntryCall::isCancelledByShutdown(const CallFailure &failure) const
 {
-    return failure.m_error.m_id == ErrorId::Cancelled && m_isStopping;
+    return failure.m_error.m_id == ErrorId::Cancelled && m_isShuttingDown;
 }
 
-/// Counts an attempt that its placement's term ended. Returns true if nothing had been sent: then
-/// the upstream isn't blamed, and may be chosen anew unless it leaves.
-bool EntryCall::noteTermOver(const PooledUpstream &upstream, const CallFailure &failure)
+/// Counts an attempt that ended at its placement deadline. Returns true if nothing had been sent:
+/// then it isn't counted against the upstream, which may be selected again unless it is leaving.
+bool EntryCall::recordDeadlinePassed(const PooledUpstream &upstream, const CallFailure &failure)
 {
     if (failure.m_error.m_id != ErrorId::TermOver)
         return false;
     const bool isUnsent = failure.m_phase == SendPhase::NothingSent;
     m_traffic.metrics().add(isUnsent ? Counter::TermOverUnsent : Counter::RequestsTakenBack);
     if (isUnsent)
-        m_tried.erase(upstream.m_record.m_id);
+        m_triedUpstreams.erase(upstream.m_record.m_id);
     return isUnsent;
 }
 
-void EntryCall::noteFailure(InFlightGuard &hold, const CallFailure &failure)
+void EntryCall::recordAttemptFailure(InFlightGuard &hold, const CallFailure &failure)
 {
     if (failure.m_error.m_id == ErrorId::Cancelled && m_isCallerGone)
         return;
-    const bool isUnsentInTerm = noteTermOver(hold.upstream(), failure);
-    if (!isGivenUpHere(failure) && !isUnsentInTerm)
+    const bool isUnsent = recordDeadlinePassed(hold.upstream(), failure);
+    if (!isCancelledByShutdown(failure) && !isUnsent)
         UpstreamPool::note(hold.upstream(), AttemptResult::Broken, m_traffic.now());
     if (failure.m_phase == SendPhase::NothingSent) {
         ++m_connectFailures;
     } else {
-        ++m_arrivals;
-        ++m_mayHaveRun;
+        ++m_deliveredAttempts;
+        ++m_possibleRuns;
         m_timedOut = failure.m_error.m_id == ErrorId::UpstreamSilent;
     }
     m_traffic.log().warning(
@@ -306,13 +311,13 @@
              hold.upstream().m_record.m_id,
              {LogField::ErrorName, errorName(failure.m_error.m_id)},
              {LogField::Text, failure.m_error.m_text},
-             {LogField::Reason, passedLimit(failure)},
+             {LogField::Reason, exceededLimit(failure)},
              {LogField::UnacknowledgedBytes, failure.m_unacknowledged},
              {LogField::Outcome,
               failure.m_phase == SendPhase::NothingSent ? "not-run" : "may-have-run"}});
 }
 
-EntryCall::Reading EntryCall::readWhole(OpenAnswer &answer)
+EntryCall::AnswerReadResult EntryCall::readFullAnswer(UpstreamAnswer &answer)
 {
     HttpReply reply;
     reply.m_status = answer.m_exchange.status();
@@ -328,40 +333,41 @@
     }
 }
 
-/// Passes on an answer whole: a caller never sees the beginning of one that breaks off.
-void EntryCall::serveWhole()
+/// Forwards an answer once it is complete, so that a caller never receives the beginning of one
+/// that breaks off.
+void EntryCall::serveBuffered()
 {
     for (;;) {
-        Opening opening = openAnswer();
-        if (const auto *stop = std::get_if<AttemptStop>(&opening)) {
-            conclude(*stop);
+        AttemptOutcome attempt = awaitAnswer();
+        if (const auto *stop = std::get_if<AttemptStop>(&attempt)) {
+            finishUnserved(*stop);
             return;
         }
-        auto &answer = std::get<OpenAnswer>(opening);
-        Reading reading = readWhole(answer);
+        auto &answer = std::get<UpstreamAnswer>(attempt);
+        AnswerReadResult reading = readFullAnswer(answer);
         if (const auto *failure = std::get_if<CallFailure>(&reading)) {
-            // Counted when it began to answer.
-            --m_arrivals;
-            --m_mayHaveRun;
-            noteFailure(answer.m_hold, *failure);
+            // The attempt was counted when its answer started.
+            --m_deliveredAttempts;
+            --m_possibleRuns;
+            recordAttemptFailure(answer.m_hold, *failure);
             continue;
         }
-        noteRan();
+        recordUsage();
         auto &reply = std::get<HttpReply>(reading);
         const bool isServerError = reply.m_status >= 500;
         UpstreamPool::note(answer.m_hold.upstream(),
                            isServerError ? AttemptResult::ServerError : AttemptResult::Good,
                            m_traffic.now());
         if (!isServerError || !m_route->isRetryable()) {
-            passOn(reply);
+            forwardAnswer(reply);
             return;
         }
         m_fallback = std::move(reply);
     }
 }
 
-/// Counts the request for its account's usage, once however often it ran.
-void EntryCall::noteRan()
+/// Counts the request for its account's usage, only once regardless of the number of attempts.
+void EntryCall::recordUsage()
 {
     if (std::exchange(m_isUsageCounted, true) || !m_account)
         return;
--- a/src/entry/entry_call.hpp
+++ b/src/entry/entry_call.hpp
@@ -17,18 +17,19 @@
 
 namespace gypsumdale {
 
-/// Why no attempt is under way.
+/// Why a request has no further attempt.
 enum class AttemptStop {
     /// No upstream is left to try.
     NoUpstream,
-    /// A further attempt is not allowed: it may have run, or the attempts or the budget are spent.
+    /// A further attempt is not allowed: the request may have run, or its attempts or the retry
+    /// budget are used up.
     NotAllowed,
-    /// The caller's time or the route's is over.
+    /// The caller's or the route's timeout has passed.
     DeadlinePassed,
     CallerGone,
-    /// The process ends, and with it what is under way.
+    /// The process is shutting down and cancels its requests.
     Stopping,
-    /// The list of upstreams is too old to place by, and a newer one is to be had.
+    /// The list of upstreams is too old for placements, and a newer one can be expected.
     ListTooOld,
 };
 
@@ -41,19 +42,19 @@
         {AttemptStop::ListTooOld, "list-too-old"},
 }};
 
-/// An upstream's answer whose header has come.
-struct OpenAnswer
+/// An upstream's answer whose header was received.
+struct UpstreamAnswer
 {
     HttpExchange m_exchange;
     InFlightGuard m_hold;
-    /// When it was sent, if its prompt was the only one to be read there.
-    std::optional<TimePoint> m_aloneSince;
+    /// When the request was sent, if its prompt was the only one for the upstream to read.
+    std::optional<TimePoint> m_readAloneSince;
 };
 
 /// One request of a caller, from its arrival to the last byte of its answer.
 ///
-/// The truth of a refusal is kept by one flag: once an attempt may have run, the request is never
-/// answered with a status that says it has not.
+/// One counter keeps refusals truthful: once an attempt may have run, the request is never answered
+/// with a status that says it has not.
 class EntryCall
 {
 public:
@@ -61,61 +62,62 @@
 
     void run();
 
-    /// Gives the attempt under way up for the end of the process. The request ends as truth allows:
-    /// as not run, as one that may have run, or as a stream that is visibly cut.
+    /// Cancels the current attempt because the process is shutting down. The request is answered as
+    /// not run, as one that may have run, or ends as a stream that is visibly cut off.
     void cancelForShutdown();
 
 private:
-    /// What is left at the deadline must be enough for an upstream to begin.
-    static constexpr Duration leastTimeLeft = std::chrono::milliseconds(10);
+    /// Least time before the deadline in which an upstream can start an answer.
+    static constexpr Duration minTimeLeft = std::chrono::milliseconds(10);
 
-    using Opening = std::variant<OpenAnswer, AttemptStop>;
-    using Reading = std::variant<HttpReply, CallFailure>;
+    using AttemptOutcome = std::variant<UpstreamAnswer, AttemptStop>;
+    using AnswerReadResult = std::variant<HttpReply, CallFailure>;
 
-    void awaitKnowledge();
+    void awaitStartupData();
     bool resolve();
     bool admitByQuota();
-    void drawService();
-    bool hasRoomInTime();
+    void selectService();
+    bool canMeetDeadline();
     int priority() const;
     void serve();
-    void serveWhole();
+    void serveBuffered();
     void serveStream();
 
-    Opening openAnswer();
+    AttemptOutcome awaitAnswer();
     CallResult<HttpExchange> send(InFlightGuard &hold,
                                   const std::shared_ptr<PlacementCallDeadline> &term);
-    std::optional<AttemptStop> whyNoFurtherAttempt(bool isFirst);
+    std::optional<AttemptStop> attemptStopReason(bool isFirst);
     PlacementRequest placement() const;
     bool readsAlone(const PooledUpstream &upstream) const;
-    /// Prompt tokens that no other request shares.
+    /// Returns the number of prompt tokens that no other request shares.
     std::int64_t ownTokens() const { return m_caller.m_promptTokens - m_caller.m_sharedTokens; }
-    bool takes(const HttpExchange &exchange, PooledUpstream &upstream);
-    HttpCall callFor(const PooledUpstream &upstream) const;
-    Duration firstAnswerLimit() const;
-    Reading readWhole(OpenAnswer &answer);
-
-    /// Passes a stream on until it ends or breaks. Returns true if it is whole.
-    bool passStream(OpenAnswer &answer);
-    bool passRun(OpenAnswer &answer);
-    /// Goes on with a run that was moved. Returns nothing if it was not, or its new place refuses.
-    std::optional<OpenAnswer> followMove();
-    std::shared_ptr<PlacementCallDeadline> termAt(const PooledUpstream &upstream) const;
-    bool cutsEvents() const;
-    void noteFirstEvent(OpenAnswer &answer);
-    bool passPiece(const std::string &piece, OpenAnswer &answer);
-    bool passEvents(const std::string &piece, OpenAnswer &answer);
-    bool beginStream(OpenAnswer &answer);
+    bool acceptsAnswer(const HttpExchange &exchange, PooledUpstream &upstream);
+    HttpCall buildCall(const PooledUpstream &upstream) const;
+    Duration firstAnswerTimeout() const;
+    AnswerReadResult readFullAnswer(UpstreamAnswer &answer);
+
+    /// Forwards a stream until it ends or breaks off. Returns whether it is complete.
+    bool forwardStream(UpstreamAnswer &answer);
+    bool forwardRun(UpstreamAnswer &answer);
+    /// Continues a run that was moved. Returns nothing if it was not moved, or if its new upstream
+    /// refuses it.
+    std::optional<UpstreamAnswer> resumeMovedRun();
+    std::shared_ptr<PlacementCallDeadline> deadlineAt(const PooledUpstream &upstream) const;
+    bool splitsEvents() const;
+    void recordFirstEvent(UpstreamAnswer &answer);
+    bool processBytes(const std::string &piece, UpstreamAnswer &answer);
+    bool forwardEvents(const std::string &piece, UpstreamAnswer &answer);
+    bool beginStream(UpstreamAnswer &answer);
     bool forward(std::string_view bytes);
 
-    std::string_view passedLimit(const CallFailure &failure) const;
-    void noteFailure(InFlightGuard &hold, const CallFailure &failure);
-    bool noteTermOver(const PooledUpstream &upstream, const CallFailure &failure);
-    bool isGivenUpHere(const CallFailure &failure) const;
-    void noteRan();
-    void conclude(AttemptStop stop);
-    void answerOwn(int status, std::string_view reason, Duration retryAfter = Duration::zero());
-    void passOn(const HttpReply &reply);
+    std::string_view exceededLimit(const CallFailure &failure) const;
+    void recordAttemptFailure(InFlightGuard &hold, const CallFailure &failure);
+    bool recordDeadlinePassed(const PooledUpstream &upstream, const CallFailure &failure);
+    bool isCancelledByShutdown(const CallFailure &failure) const;
+    void recordUsage();
+    void finishUnserved(AttemptStop stop);
+    void sendOwnAnswer(int status, std::string_view reason, Duration retryAfter = Duration::zero());
+    void forwardAnswer(const HttpReply &reply);
     Duration retryAfter();
     Duration timeLeft() const { return m_deadline - m_traffic.now(); }
     void logPlaced(const PooledUpstream &upstream, TimePoint until);
@@ -130,29 +132,29 @@
     const ClientAccount *m_account = nullptr;
     RequestSeries *m_series = nullptr;
     ServiceId m_service;
-    /// Gives up the attempt under way.
+    /// Cancels the current attempt.
     std::shared_ptr<CallCancellation> m_cancellation = std::make_shared<CallCancellation>();
     TimePoint m_arrivedAt;
     TimePoint m_deadline{};
-    TimePoint m_begunAt{};
+    TimePoint m_streamStartedAt{};
     TimePoint m_lastEventAt{};
     Duration m_longestPause{};
-    std::set<UpstreamId> m_tried;
-    /// The upstream's own failure, passed on if no further attempt does better.
+    std::set<UpstreamId> m_triedUpstreams;
+    /// An upstream's error answer, forwarded if no further attempt succeeds.
     std::optional<HttpReply> m_fallback;
-    /// The run under way, where it can be moved.
+    /// The current run, if it can be moved.
     std::shared_ptr<StreamRun> m_run;
     std::optional<std::string> m_memory;
     EventSplitter m_splitter;
     std::optional<std::string> m_lastEventId;
     std::size_t m_events = 0;
-    int m_arrivals = 0;
+    int m_deliveredAttempts = 0;
     int m_connectFailures = 0;
-    int m_mayHaveRun = 0;
+    int m_possibleRuns = 0;
     bool m_isUsageCounted = false;
-    bool m_hasBegun = false;
+    bool m_hasStreamStarted = false;
     bool m_isCallerGone = false;
-    bool m_isStopping = false;
+    bool m_isShuttingDown = false;
     bool m_timedOut = false;
 };
 
--- a/src/entry/entry_call_admission.cpp
+++ b/src/entry/entry_call_admission.cpp
@@ -5,40 +5,41 @@
 
 #include <algorithm> // min
 
-/// Whether a request is let in: its route and account, room at the engines, and the quota.
+/// Decides whether a request is admitted: its route and account, the engines' capacity, and the
+/// quota.
 namespace gypsumdale {
 
 namespace {
 
-constexpr Duration knowledgeCheck = std::chrono::milliseconds(2);
+constexpr Duration startupCheckInterval = std::chrono::milliseconds(2);
 
 } // namespace
 
-/// Keeps a request that came within moments of the process's start until there is something to
-/// decide it on.
-void EntryCall::awaitKnowledge()
+/// Holds a request that arrives shortly after the start of the process until a configuration and
+/// upstreams are known, or the wait is over.
+void EntryCall::awaitStartupData()
 {
     while (m_traffic.shouldWaitForStartup())
-        sleepFiber(knowledgeCheck);
+        sleepFiber(startupCheckInterval);
     m_view = m_traffic.view();
 }
 
-/// Finds route and account. Answers and returns false where there is none.
+/// Finds route and account. Sends an error answer and returns false if there is none.
 bool EntryCall::resolve()
 {
     if (!m_view) {
-        // Nothing may be denied from ignorance: what is not known here may be allowed.
-        answerOwn(statusUnavailable, "no-configuration", retryAfter());
+        // Without a configuration nothing may be rejected permanently: the request may be allowed.
+        sendOwnAnswer(statusUnavailable, "no-configuration", retryAfter());
         return false;
     }
     m_route = m_view->findRoute(m_caller.m_host, m_request.path());
     if (!m_route) {
-        answerOwn(statusNotFound, "no-route");
+        sendOwnAnswer(statusNotFound, "no-route");
         return false;
     }
     m_account = m_caller.m_key.empty() ? nullptr : m_view->findAccount(m_caller.m_key);
     if (!m_account && m_view->requiresKeys() && !m_route->m_isPublic) {
-        answerOwn(statusUnauthorized, "unknown-key");
+        sendOwnAnswer(statusUnauthorized, "unknown-key");
         return false;
     }
     const Duration timeout =
@@ -70,12 +71,12 @@
                           {LogField::Used, decision.m_capacity - decision.m_level},
                           {LogField::Limit, decision.m_capacity},
                           {LogField::SilentPeers, decision.m_silentPeers}});
-    answerOwn(statusTooManyRequests, nameIn(quotaVerdictNames, decision.m_verdict),
-              decision.m_retryAfter);
+    sendOwnAnswer(statusTooManyRequests, nameIn(quotaVerdictNames, decision.m_verdict),
+                  decision.m_retryAfter);
     return false;
 }
 
-void EntryCall::drawService()
+void EntryCall::selectService()
 {
     double weights = 0;
     for (const WeightedService &target : m_route->m_services)
@@ -89,10 +90,11 @@
     }
 }
 
-/// Rejects a request whose first event is known to come too late. While few engines are left for
-/// the load, the least urgent requests wait at them until their deadline passes, and their callers
-/// learn nothing until then. It has not been sent anywhere, so that it has not run is true.
-bool EntryCall::hasRoomInTime()
+/// Rejects a request whose first event is forecast to arrive after the deadline. If the engines
+/// can't handle the load, requests of the lowest priority would wait at them until their deadline
+/// passes, and their callers would learn nothing before. The request has not been sent anywhere, so
+/// the answer that it has not run is true.
+bool EntryCall::canMeetDeadline()
 {
     if (m_route->m_kind != RouteRepeatSafety::Stream || m_caller.m_promptTokens == 0)
         return true;
@@ -109,7 +111,7 @@
     const ServingService *service = m_view->findService(m_service);
     if (service && service->m_scaling)
         terms.m_bootTime = service->m_scaling->m_bootTime;
-    const Duration comeBack =
+    const Duration retryDelay =
             FirstEventForecaster::timeUntilCapacity(*forecast, terms, m_traffic.random());
     m_traffic.metrics().add(Counter::NoRoomInTime);
     m_traffic.log().info("no-room-in-time", {m_caller.m_id,
@@ -120,8 +122,8 @@
                                              {LogField::ForecastMillis, toMillis(forecast->m_wait)},
                                              {LogField::DeadlineMillis, toMillis(timeLeft())},
                                              {LogField::AgeMillis, toMillis(forecast->m_reportAge)},
-                                             {LogField::RetryAfterMillis, toMillis(comeBack)}});
-    answerOwn(statusUnavailable, "no-room-in-time", comeBack);
+                                             {LogField::RetryAfterMillis, toMillis(retryDelay)}});
+    sendOwnAnswer(statusUnavailable, "no-room-in-time", retryDelay);
     return false;
 }
 
--- a/src/entry/entry_call_end.cpp
+++ b/src/entry/entry_call_end.cpp
@@ -2,14 +2,14 @@
 
 #include <entry/entry_call.hpp>
 
-/// How a request ends, and what the log says of its way.
+/// How a request ends, and what is logged about it.
 namespace gypsumdale {
 
 namespace {
 
-/// Callers come back within this range, spread so that they don't return at one moment.
-constexpr Duration earliestReturn = std::chrono::milliseconds(150);
-constexpr Duration returnSpread = std::chrono::milliseconds(350);
+/// Callers are asked to retry within this range, spread so that they don't return at the same time.
+constexpr Duration minRetryDelay = std::chrono::milliseconds(150);
+constexpr Duration retryDelaySpread = std::chrono::milliseconds(350);
 
 std::string_view stateOf(const PooledUpstream &upstream)
 {
@@ -22,39 +22,41 @@
 
 } // namespace
 
-/// Ends a request that no upstream answered well.
-void EntryCall::conclude(AttemptStop stop)
+/// Ends a request that no upstream answered successfully.
+void EntryCall::finishUnserved(AttemptStop stop)
 {
     if (stop == AttemptStop::CallerGone) {
         m_series->add(RequestCounter::Cancelled);
         logEnd("caller-gone", 0);
         return;
     }
-    if (m_hasBegun && !m_responder.takeBack()) {
-        // The end mark is left out, so that the caller sees a cut stream and no false end.
+    if (m_hasStreamStarted && !m_responder.takeBack()) {
+        // The end marker is left out, so that the caller sees a stream that was cut off, not a
+        // regular end.
         m_series->add(RequestCounter::Failed);
         logEnd("stream-cut", 0);
         m_responder.abandon();
         return;
     }
     if (m_fallback) {
-        passOn(*m_fallback);
+        forwardAnswer(*m_fallback);
         return;
     }
-    if (m_mayHaveRun > 0) {
+    if (m_possibleRuns > 0) {
         m_series->add(RequestCounter::OutcomeUnknown);
-        answerOwn(m_timedOut ? statusGatewayTimeout : statusBadGateway, "outcome-unknown");
+        sendOwnAnswer(m_timedOut ? statusGatewayTimeout : statusBadGateway, "outcome-unknown");
         return;
     }
-    answerOwn(statusUnavailable, nameIn(attemptStopNames, stop), retryAfter());
+    sendOwnAnswer(statusUnavailable, nameIn(attemptStopNames, stop), retryAfter());
 }
 
 Duration EntryCall::retryAfter()
 {
-    return earliestReturn + std::chrono::duration_cast<Duration>(returnSpread * m_traffic.random());
+    return minRetryDelay
+           + std::chrono::duration_cast<Duration>(retryDelaySpread * m_traffic.random());
 }
 
-void EntryCall::answerOwn(int status, std::string_view reason, Duration retryAfter)
+void EntryCall::sendOwnAnswer(int status, std::string_view reason, Duration retryAfter)
 {
     m_responder.send(platform::ownReply(status, m_caller.m_id, reason, retryAfter));
     if (m_series)
@@ -64,10 +66,10 @@
     logEnd(reason, status);
 }
 
-void EntryCall::passOn(const HttpReply &reply)
+void EntryCall::forwardAnswer(const HttpReply &reply)
 {
     if (!m_responder.send(reply)) {
-        conclude(AttemptStop::CallerGone);
+        finishUnserved(AttemptStop::CallerGone);
         return;
     }
     const bool isDone = reply.m_status < 500;
@@ -94,7 +96,7 @@
              {LogField::Running, upstream.m_own.m_running},
              {LogField::OthersRunning, upstream.m_peerTotal.m_running},
              {LogField::AgeMillis, toMillis(m_traffic.pool().reportAge(m_traffic.now()))},
-             {LogField::Attempt, m_arrivals + m_connectFailures + 1},
+             {LogField::Attempt, m_deliveredAttempts + m_connectFailures + 1},
              {LogField::HeldMillis, toMillis(m_traffic.now() - m_arrivedAt)},
              {LogField::BudgetLeft, m_traffic.allowance().left(m_service, m_traffic.now())}});
 }
@@ -108,11 +110,12 @@
             {LogField::Account, m_account ? std::string_view(m_account->m_id.text()) : "none"},
             {LogField::Outcome, outcome},
             {LogField::Status, status},
-            {LogField::Attempt, m_arrivals},
+            {LogField::Attempt, m_deliveredAttempts},
             {LogField::Events, m_events},
             {LogField::ConfigVersion, m_view ? m_view->config().m_version : 0},
             {LogField::Millis, toMillis(m_traffic.now() - m_arrivedAt)},
-            {LogField::FirstMillis, m_hasBegun ? toMillis(m_begunAt - m_arrivedAt) : 0},
+            {LogField::FirstMillis,
+             m_hasStreamStarted ? toMillis(m_streamStartedAt - m_arrivedAt) : 0},
             {LogField::PauseMillis, toMillis(m_longestPause)},
     };
     if (isGood)
--- a/src/entry/entry_call_stream.cpp
+++ b/src/entry/entry_call_stream.cpp
@@ -5,16 +5,16 @@
 #include <charconv> // from_chars
 #include <utility> // exchange, move
 
-/// How a request's stream is passed on, resumed and followed to another engine.
+/// How a request's stream is forwarded, resumed, and continued at another engine.
 namespace gypsumdale {
 
 namespace {
 
-/// Longest silence within a stream that can go on elsewhere. Callers leave a stream after two
+/// Longest silence within a stream that can continue elsewhere. Callers abandon a stream after two
 /// seconds or more without an event.
-constexpr Duration streamSilence = std::chrono::milliseconds(1200);
-/// How often a request whose run is being moved looks whether the copy is complete.
-constexpr Duration moveCheck = std::chrono::milliseconds(5);
+constexpr Duration streamSilenceTimeout = std::chrono::milliseconds(1200);
+/// Interval at which a request checks whether the copy of its moving run is complete.
+constexpr Duration moveCheckInterval = std::chrono::milliseconds(5);
 
 std::optional<std::int64_t> eventNumber(const std::optional<std::string> &id)
 {
@@ -32,42 +32,42 @@
 void EntryCall::serveStream()
 {
     for (;;) {
-        Opening opening = openAnswer();
-        if (const auto *stop = std::get_if<AttemptStop>(&opening)) {
-            conclude(*stop);
+        AttemptOutcome attempt = awaitAnswer();
+        if (const auto *stop = std::get_if<AttemptStop>(&attempt)) {
+            finishUnserved(*stop);
             return;
         }
-        auto &answer = std::get<OpenAnswer>(opening);
+        auto &answer = std::get<UpstreamAnswer>(attempt);
         if (answer.m_exchange.status() / 100 != 2) {
-            Reading reading = readWhole(answer);
+            AnswerReadResult reading = readFullAnswer(answer);
             const auto *reply = std::get_if<HttpReply>(&reading);
             UpstreamPool::note(answer.m_hold.upstream(), AttemptResult::ServerError,
                                m_traffic.now());
-            noteRan();
-            if (reply && !m_hasBegun)
+            recordUsage();
+            if (reply && !m_hasStreamStarted)
                 m_fallback = *reply;
             if (!m_route->isRetryable() || (reply && reply->m_status < 500)) {
-                conclude(AttemptStop::NotAllowed);
+                finishUnserved(AttemptStop::NotAllowed);
                 return;
             }
             continue;
         }
-        if (passStream(answer))
+        if (forwardStream(answer))
             return;
         if (m_isCallerGone) {
-            conclude(AttemptStop::CallerGone);
+            finishUnserved(AttemptStop::CallerGone);
             return;
         }
         if (!m_route->isRetryable()) {
-            conclude(AttemptStop::NotAllowed);
+            finishUnserved(AttemptStop::NotAllowed);
             return;
         }
         m_splitter.reset();
     }
 }
 
-/// Tells whether a stream is cut into events, as it may have to go on after one of them.
-bool EntryCall::cutsEvents() const
+/// Returns whether a stream is split into events because it may have to continue after one of them.
+bool EntryCall::splitsEvents() const
 {
     if (m_route->isRetryable())
         return true;
@@ -75,22 +75,22 @@
     return service && service->m_engine && service->m_engine->m_canMoveRuns;
 }
 
-bool EntryCall::passStream(OpenAnswer &answer)
+bool EntryCall::forwardStream(UpstreamAnswer &answer)
 {
-    if (m_route->isRetryable() || !cutsEvents())
-        return passRun(answer);
-    std::optional<OpenAnswer> moved;
-    OpenAnswer *current = &answer;
+    if (m_route->isRetryable() || !splitsEvents())
+        return forwardRun(answer);
+    std::optional<UpstreamAnswer> moved;
+    UpstreamAnswer *current = &answer;
     for (;;) {
         m_run = std::make_shared<StreamRun>();
         m_run->m_request = m_caller.m_id;
         m_run->m_upstream = current->m_hold.pointer();
         m_traffic.mover().add(m_run);
-        const bool isWhole = passRun(*current);
+        const bool isWhole = forwardRun(*current);
         m_traffic.mover().remove(m_run);
         if (isWhole || m_isCallerGone)
             return isWhole;
-        std::optional<OpenAnswer> next = followMove();
+        std::optional<UpstreamAnswer> next = resumeMovedRun();
         if (!next)
             return false;
         moved.emplace(std::move(*next));
@@ -99,8 +99,9 @@
     }
 }
 
-/// Returns the term of a run that goes on at an upstream, or nothing where none is left or known.
-std::shared_ptr<PlacementCallDeadline> EntryCall::termAt(const PooledUpstream &upstream) const
+/// Returns the delivery deadline of a run that continues at an upstream, or nothing if it has
+/// passed or is unknown.
+std::shared_ptr<PlacementCallDeadline> EntryCall::deadlineAt(const PooledUpstream &upstream) const
 {
     const bool isLeaving = upstream.m_isGone || upstream.m_record.m_isDraining;
     const std::optional<TimePoint> until =
@@ -111,21 +112,21 @@
             m_traffic, *until, isLeaving ? DeadlineRenewal::None : DeadlineRenewal::OnConfirmation);
 }
 
-std::optional<OpenAnswer> EntryCall::followMove()
+std::optional<UpstreamAnswer> EntryCall::resumeMovedRun()
 {
-    // The stream of a run that is moved ends before the copy is complete.
+    // The stream of a moving run ends before its copy is complete.
     const auto isOver = [this] {
-        return m_isCallerGone || m_isStopping || timeLeft() < leastTimeLeft;
+        return m_isCallerGone || m_isShuttingDown || timeLeft() < minTimeLeft;
     };
     while (m_run->m_isMoving && !isOver())
-        sleepFiber(moveCheck);
+        sleepFiber(moveCheckInterval);
     if (!m_run->m_moved || isOver())
         return std::nullopt;
     const MovedRun moved = *m_run->m_moved;
-    // The memory went with the process that held it.
+    // The memory was lost with the process that held it.
     if (moved.m_upstream->m_isReplaced)
         return std::nullopt;
-    const std::shared_ptr<PlacementCallDeadline> term = termAt(*moved.m_upstream);
+    const std::shared_ptr<PlacementCallDeadline> term = deadlineAt(*moved.m_upstream);
     if (!term) {
         m_traffic.log().warning("moved-run-too-late",
                                 {m_caller.m_id,
@@ -139,12 +140,12 @@
     CallResult<HttpExchange> opened = send(hold, term);
     m_memory.reset();
     if (const auto *failure = std::get_if<CallFailure>(&opened)) {
-        noteFailure(hold, *failure);
+        recordAttemptFailure(hold, *failure);
         return std::nullopt;
     }
-    ++m_arrivals;
+    ++m_deliveredAttempts;
     auto &exchange = std::get<HttpExchange>(opened);
-    if (!takes(exchange, *moved.m_upstream))
+    if (!acceptsAnswer(exchange, *moved.m_upstream))
         return std::nullopt;
     if (exchange.status() / 100 != 2) {
         m_traffic.log().warning("moved-run-refused", {m_caller.m_id,
@@ -152,34 +153,35 @@
                                                       {LogField::Status, exchange.status()}});
         return std::nullopt;
     }
-    return OpenAnswer{std::move(exchange), std::move(hold), std::nullopt};
+    return UpstreamAnswer{std::move(exchange), std::move(hold), std::nullopt};
 }
 
-bool EntryCall::passRun(OpenAnswer &answer)
+bool EntryCall::forwardRun(UpstreamAnswer &answer)
 {
     for (;;) {
         const Duration silence =
-                m_route->isRetryable() ? std::max(streamSilence, m_events == 0 ? firstAnswerLimit()
-                                                                               : Duration::zero())
-                                       : Duration::max();
+                m_route->isRetryable()
+                        ? std::max(streamSilenceTimeout,
+                                   m_events == 0 ? firstAnswerTimeout() : Duration::zero())
+                        : Duration::max();
         const Duration limit = std::clamp(timeLeft(), Duration::zero(), silence);
         auto piece = answer.m_exchange.read(limit);
         if (auto *failure = std::get_if<CallFailure>(&piece)) {
-            --m_arrivals;
-            --m_mayHaveRun;
-            noteFailure(answer.m_hold, *failure);
+            --m_deliveredAttempts;
+            --m_possibleRuns;
+            recordAttemptFailure(answer.m_hold, *failure);
             return false;
         }
         const auto &text = std::get<std::optional<std::string>>(piece);
         if (!text)
             break;
-        if (!passPiece(*text, answer))
+        if (!processBytes(*text, answer))
             return false;
     }
     if (m_splitter.hasPartial())
         return false;
     UpstreamPool::note(answer.m_hold.upstream(), AttemptResult::Good, m_traffic.now());
-    if (!m_hasBegun && !beginStream(answer))
+    if (!m_hasStreamStarted && !beginStream(answer))
         return false;
     if (!m_responder.finish()) {
         m_isCallerGone = true;
@@ -191,29 +193,29 @@
     return true;
 }
 
-/// The first piece of an answer tells that the prompt has been read.
-void EntryCall::noteFirstEvent(OpenAnswer &answer)
+/// The first bytes of an answer show that the prompt has been read.
+void EntryCall::recordFirstEvent(UpstreamAnswer &answer)
 {
     answer.m_hold.onPromptRead();
-    if (const auto since = std::exchange(answer.m_aloneSince, std::nullopt))
+    if (const auto since = std::exchange(answer.m_readAloneSince, std::nullopt))
         m_traffic.reading().own(m_service).recordUncontended(ownTokens(), m_traffic.now() - *since);
 }
 
-bool EntryCall::passPiece(const std::string &piece, OpenAnswer &answer)
+bool EntryCall::processBytes(const std::string &piece, UpstreamAnswer &answer)
 {
-    noteFirstEvent(answer);
-    noteRan();
-    if (cutsEvents())
-        return passEvents(piece, answer);
-    if (!m_hasBegun && !beginStream(answer))
+    recordFirstEvent(answer);
+    recordUsage();
+    if (splitsEvents())
+        return forwardEvents(piece, answer);
+    if (!m_hasStreamStarted && !beginStream(answer))
         return false;
     ++m_events;
     return forward(piece);
 }
 
-/// Passes on whole events only, and none twice: what a broken run left half said is said again by
-/// the run that goes on after its last whole event.
-bool EntryCall::passEvents(const std::string &piece, OpenAnswer &answer)
+/// Forwards complete events only, and none twice: an event that a broken run sent incompletely is
+/// repeated by the run that continues after the last complete one.
+bool EntryCall::forwardEvents(const std::string &piece, UpstreamAnswer &answer)
 {
     std::string bytes;
     for (const StreamEvent &event : m_splitter.push(piece)) {
@@ -228,17 +230,17 @@
     }
     if (bytes.empty())
         return true;
-    if (!m_hasBegun && !beginStream(answer))
+    if (!m_hasStreamStarted && !beginStream(answer))
         return false;
     return forward(bytes);
 }
 
-bool EntryCall::beginStream(OpenAnswer &answer)
+bool EntryCall::beginStream(UpstreamAnswer &answer)
 {
-    m_hasBegun = true;
-    m_begunAt = m_traffic.now();
-    m_lastEventAt = m_begunAt;
-    m_series->record(Latency::FirstToken, m_begunAt - m_arrivedAt);
+    m_hasStreamStarted = true;
+    m_streamStartedAt = m_traffic.now();
+    m_lastEventAt = m_streamStartedAt;
+    m_series->record(Latency::FirstToken, m_streamStartedAt - m_arrivedAt);
     const bool isGood = m_responder.begin(answer.m_exchange.status(),
                                           platform::callerHeaders(answer.m_exchange.headers()));
     m_isCallerGone = m_isCallerGone || !isGood;
--- a/src/entry/entry_config_feed.cpp
+++ b/src/entry/entry_config_feed.cpp
@@ -9,20 +9,22 @@
 
 namespace {
 
-/// A watch waits for this part of the time in which a version must be in force: one whose
-/// connection went silent costs its wait and half a second.
-constexpr int watchesPerBound = 2;
-/// A reader's word goes a step further.
-constexpr int readerWatchesPerBound = 3;
-/// A follower that isn't told for this part of the bound asks itself; the rest is for that.
-constexpr double toldPartOfBound = 0.65;
-/// A watch that begins where the last reading ended this long ago is refused, as the store may have
-/// forgotten what came between: it promises 20 s, and may forget sooner.
-constexpr Duration cursorKept = std::chrono::seconds(8);
-/// Of a VM whose version was not confirmed for that long: a lost answer must not use up the rest.
+/// Divisor for a watch's wait: part of the time within which a version must be in force. A watch
+/// whose connection becomes silent costs its wait and half a second.
+constexpr int watchDivisor = 2;
+/// Shorter for a reader, as its updates still have to reach the followers.
+constexpr int readerWatchDivisor = 3;
+/// A follower that receives no update for this part of the limit reads the store itself, in the
+/// remaining part.
+constexpr double updateAgeFraction = 0.65;
+/// After this time since the last read, the full text is read instead of continuing the watch: the
+/// store may have dropped the changes in between. It keeps them for 20 s, but may drop them sooner.
+constexpr Duration maxCursorAge = std::chrono::seconds(8);
+/// Wait of a watch when the version has not been confirmed for the limit, so that a lost answer
+/// doesn't use up the remaining time.
 constexpr Duration urgentWatchWait = std::chrono::milliseconds(50);
-constexpr Duration toldTick = std::chrono::milliseconds(100);
-constexpr Duration failurePause = std::chrono::milliseconds(150);
+constexpr Duration idleInterval = std::chrono::milliseconds(100);
+constexpr Duration failureDelay = std::chrono::milliseconds(150);
 
 } // namespace
 
@@ -35,76 +37,76 @@
 void EntryConfigFeed::follow()
 {
     while (!m_context.m_isStopping) {
-        const bool isLeftToPeer = m_isFetching && mustReadWhole();
-        if (isTold() || isLeftToPeer) {
-            sleepFiber(toldTick);
+        const bool isLeftToPeer = m_isFetching && mustReadFullText();
+        if (hasRecentUpdate() || isLeftToPeer) {
+            sleepFiber(idleInterval);
             continue;
         }
-        if (mustReadWhole())
-            readWhole();
+        if (mustReadFullText())
+            readFullText();
         else
             watchOnce();
         if (!m_store.isLost())
             continue;
-        if (m_readingFailed)
-            m_readingFailed();
-        sleepFiber(failurePause);
+        if (m_storeReadFailed)
+            m_storeReadFailed();
+        sleepFiber(failureDelay);
     }
 }
 
-bool EntryConfigFeed::mustReadWhole() const
+bool EntryConfigFeed::mustReadFullText() const
 {
-    return m_revision == 0 || m_context.now() - m_readAt > cursorKept;
+    return m_revision == 0 || m_context.now() - m_readAt > maxCursorAge;
 }
 
-/// Tells whether a reader has confirmed the version lately enough for this VM not to ask.
-bool EntryConfigFeed::isTold() const
+/// Returns whether a reader has confirmed the version so recently that this VM need not ask.
+bool EntryConfigFeed::hasRecentUpdate() const
 {
     if (m_role != StoreRole::Follower || m_store.isLost())
         return false;
-    return !m_news.mustRead(m_version, m_context.now()) && age() < toldLimit();
+    return !m_sourceSelector.mustRead(m_version, m_context.now()) && age() < updateAgeLimit();
 }
 
-Duration EntryConfigFeed::toldLimit() const
+Duration EntryConfigFeed::updateAgeLimit() const
 {
-    return std::chrono::duration_cast<Duration>(toldPartOfBound
+    return std::chrono::duration_cast<Duration>(updateAgeFraction
                                                 * m_context.m_settings.m_bounds.m_configApply);
 }
 
 bool EntryConfigFeed::receiveUpdate(std::int64_t version, const ReportedAge &age, bool isSent)
 {
     if (version == m_version)
-        m_confirmation.take(age);
-    return m_news.take(version, m_version, isSent, m_context.now());
+        m_confirmation.record(age);
+    return m_sourceSelector.take(version, m_version, isSent, m_context.now());
 }
 
 Duration EntryConfigFeed::watchWait() const
 {
-    if (m_role != StoreRole::Alone && age() >= toldLimit())
+    if (m_role != StoreRole::Alone && age() >= updateAgeLimit())
         return urgentWatchWait;
-    const int parts = m_role == StoreRole::Reader ? readerWatchesPerBound : watchesPerBound;
+    const int parts = m_role == StoreRole::Reader ? readerWatchDivisor : watchDivisor;
     return m_context.m_settings.m_bounds.m_configApply / parts;
 }
 
-void EntryConfigFeed::readWhole()
+void EntryConfigFeed::readFullText()
 {
     const TimePoint sentAt = m_context.now();
-    m_isReadingWhole = true;
+    m_isReadingFullText = true;
     const auto listing = m_context.m_store.list(platform::names::configKind,
                                                 platform::ReadFreshness::Linearizable);
-    m_isReadingWhole = false;
+    m_isReadingFullText = false;
     if (!succeeded(listing)) {
         m_store.failed(errorOf(listing));
         return;
     }
-    noteRead(valueOf(listing).m_revision);
-    m_confirmation.take(sentAt);
+    recordRead(valueOf(listing).m_revision);
+    m_confirmation.record(sentAt);
     for (const platform::StoreObject &object : valueOf(listing).m_objects)
-        take(object);
+        applyObject(object);
 }
 
-/// Notes that the store told everything up to a revision.
-void EntryConfigFeed::noteRead(std::int64_t revision)
+/// Records that the store's content up to a revision was read.
+void EntryConfigFeed::recordRead(std::int64_t revision)
 {
     m_store.answered(m_context.now());
     m_readAt = m_context.now();
@@ -117,23 +119,23 @@
     const Duration wait = watchWait();
     const auto changes = m_context.m_store.watch(platform::names::configKind, m_revision, wait);
     if (!succeeded(changes)) {
-        // The history behind the revision is gone: what changed is read anew.
+        // The store has dropped its history since the revision: the full text is read again.
         if (errorOf(changes).m_id == ErrorId::PlatformRefused)
             m_revision = 0;
         m_store.failed(errorOf(changes));
         return;
     }
-    noteRead(valueOf(changes).m_revision);
+    recordRead(valueOf(changes).m_revision);
     const auto &events = valueOf(changes).m_events;
-    m_confirmation.take({sentAt, wait, m_readAt},
-                        events.empty() ? WatchResult::Nothing : WatchResult::Changes);
+    m_confirmation.record({sentAt, wait, m_readAt},
+                          events.empty() ? WatchResult::Nothing : WatchResult::Changes);
     for (const platform::StoreEvent &event : events) {
         if (!event.m_isRemoved)
-            take(event.m_object);
+            applyObject(event.m_object);
     }
 }
 
-void EntryConfigFeed::take(const platform::StoreObject &object)
+void EntryConfigFeed::applyObject(const platform::StoreObject &object)
 {
     if (object.m_name == platform::names::configObject)
         adopt(object.m_specText, "store");
@@ -154,7 +156,7 @@
     if (valueOf(decoded).m_version <= m_version)
         return false;
     m_version = valueOf(decoded).m_version;
-    m_news.onAdopted(m_context.now());
+    m_sourceSelector.onAdopted(m_context.now());
     m_text = text;
     m_view = std::make_shared<const ServingView>(valueOf(std::move(decoded)));
     m_context.m_log.info("config-adopted",
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -22,34 +22,34 @@
 
 namespace {
 
-/// Ends the wait for signals once the shutdown is over.
+/// Ends the wait for signals after the shutdown.
 constexpr int endSignal = SIGUSR1;
-/// Lines of one kind of event: a busy VM serves some 60 requests a second.
+/// Rate limit for the lines of one kind of event: a busy VM serves about 60 requests per second.
 constexpr LogRate logRate{400, 80};
-/// After the signal to stop, new connections are still taken: the balancer asks once a second and
-/// sends them until it was told twice that this VM isn't ready.
+/// New connections are still accepted for this time after the stop signal: the load balancer checks
+/// readiness once per second and sends connections until two checks have failed.
 constexpr Duration acceptAfterTerm = std::chrono::milliseconds(2600);
-/// Left of the grace time for the answers to what is given up, for leaving the registry and for the
-/// process's end.
+/// Part of the grace time reserved for answers to cancelled requests, for leaving the registry and
+/// for the end of the process.
 constexpr Duration graceMargin = std::chrono::milliseconds(700);
-/// Part of that for the answers: a VM with a tenth of a core writes some hundred of them.
+/// Part of graceMargin for the answers: a VM with a tenth of a core writes about a hundred of them.
 constexpr Duration lastAnswersTime = std::chrono::milliseconds(250);
-/// And for the lines about answers that their callers did not take: two ticks.
+/// Part of graceMargin for the log lines about answers that callers did not receive: two ticks.
 constexpr Duration lastLinesTime = std::chrono::milliseconds(100);
-/// Part of the grace time, less its margin, in which connections are taken at most, so that a short
-/// grace time leaves room to answer them.
+/// Divisor of the grace time without its margin that gives the longest time for accepting
+/// connections, so that a short grace time leaves time to answer them.
 constexpr int acceptPartsOfGrace = 2;
-/// And for the peers' receipt of the last counts, while the registry is left: a round trip between
-/// data centres and a slow VM.
-constexpr Duration farewellTime = std::chrono::milliseconds(150);
+/// Part of graceMargin for the peers' receipt of the final report, while the registry is left: a
+/// round trip between data centres and a slow VM.
+constexpr Duration finalReportTime = std::chrono::milliseconds(150);
 constexpr Duration drainTick = std::chrono::milliseconds(50);
 constexpr Duration logFlushTick = std::chrono::milliseconds(100);
 constexpr Duration settingsTick = std::chrono::seconds(2);
 constexpr Duration loopTick = std::chrono::milliseconds(200);
-/// A tenth of the shortest time in which a leaving upstream is to be left alone.
-constexpr Duration lateLoop = std::chrono::milliseconds(200);
-constexpr Duration suppressedTick = std::chrono::seconds(5);
-constexpr std::size_t mostCallerConnections = 3000;
+/// A tenth of the shortest time within which a leaving upstream must receive no more requests.
+constexpr Duration loopLatenessLimit = std::chrono::milliseconds(200);
+constexpr Duration suppressedReportInterval = std::chrono::seconds(5);
+constexpr std::size_t maxCallerConnections = 3000;
 constexpr Duration callerWriteTimeout = std::chrono::seconds(10);
 
 Endpoint endpointOf(const Address &address)
@@ -66,11 +66,12 @@
     return signals;
 }
 
-/// The limits of the configuration, where it sets any; its own, generous ones before the first.
+/// Returns the limits of the configuration; the default limits before the first one, or where it
+/// sets none.
 HttpLimits limitsOf(const CallerLimits &limits)
 {
     HttpLimits result;
-    result.m_connections = mostCallerConnections;
+    result.m_connections = maxCallerConnections;
     result.m_writeTimeout = callerWriteTimeout;
     if (limits.m_headerBytes > 0)
         result.m_headerBytes = limits.m_headerBytes;
@@ -81,7 +82,7 @@
     return result;
 }
 
-/// Everything that one entry process consists of.
+/// All parts of one entry process.
 class EntryDaemon
 {
 public:
@@ -108,7 +109,7 @@
         , m_upstreams(m_context)
         , m_peers(m_context, m_config, m_upstreams)
         , m_registry(m_context, m_peers)
-        , m_news(m_context, m_config, m_upstreams, m_peers)
+        , m_storeRelay(m_context, m_config, m_upstreams, m_peers)
         , m_duties(m_context, m_config, m_upstreams, m_peers)
     {}
 
@@ -137,12 +138,12 @@
         });
         m_controlLoop.spawn([this] { m_peers.run(); });
         m_controlLoop.spawn([this] { m_registry.follow(); });
-        m_controlLoop.spawn([this] { m_news.run(); });
+        m_controlLoop.spawn([this] { m_storeRelay.run(); });
         m_controlLoop.spawn([this] { m_duties.followLease(); });
         m_controlLoop.spawn([this] { m_duties.reportUsage(); });
         m_controlLoop.spawn([this] { m_duties.scale(); });
-        m_controlLoop.spawn([this] { keepHouse(); });
-        m_controlLoop.spawn([this] { writeLog(); });
+        m_controlLoop.spawn([this] { runPeriodicTasks(); });
+        m_controlLoop.spawn([this] { flushLog(); });
         m_controlLoop.spawn([this] { watchLoop("control"); });
         m_trafficLoop.spawn([this] { watchLoop("traffic"); });
         return Done{};
@@ -160,12 +161,12 @@
         m_controlLoop.spawn([this] { drain(); });
     }
 
-    bool isEnded() const { return m_isEnded; }
-    std::size_t cutRequests() const { return m_cut; }
+    bool hasEnded() const { return m_hasEnded; }
+    std::size_t cancelledRequests() const { return m_cancelledRequests; }
 
     void stop()
     {
-        m_log->info("stopped", {{LogField::Count, m_cut.load()}});
+        m_log->info("stopped", {{LogField::Count, m_cancelledRequests.load()}});
         m_log->reportSuppressed();
         m_log->flush();
         m_trafficLoop.stop();
@@ -181,14 +182,14 @@
                              });
         if (!succeeded(callers))
             return errorOf(callers);
-        m_callers.emplace(valueOf(std::move(callers)));
+        m_callerServer.emplace(valueOf(std::move(callers)));
         auto ready = serve(m_settings.m_readyListen, m_controlLoop,
                            [this](const HttpRequest &, HttpResponder &responder) {
                                responder.send({isReady() ? 200 : 503, {}, {}});
                            });
         if (!succeeded(ready))
             return errorOf(ready);
-        m_ready.emplace(valueOf(std::move(ready)));
+        m_readyServer.emplace(valueOf(std::move(ready)));
         if (!m_settings.m_metricsListen)
             return std::nullopt;
         auto metrics = serve(*m_settings.m_metricsListen, m_controlLoop,
@@ -211,8 +212,9 @@
                 .build();
     }
 
-    /// Ready is who knows the configuration and the upstreams and is not about to stop. The store's
-    /// absence doesn't matter: what is known is served on.
+    /// Returns whether the configuration and the upstreams are known and the process isn't shutting
+    /// down. An unavailable store doesn't matter, as requests are served with the data already
+    /// known.
     bool isReady() const
     {
         return !m_isShuttingDown && m_config.version() > 0 && m_upstreams.isKnown();
@@ -223,11 +225,11 @@
         m_metrics.set(Gauge::Ready, isReady() ? 1 : 0);
         m_metrics.set(Gauge::Draining, m_isShuttingDown ? 1 : 0);
         m_metrics.set(Gauge::RequestsInFlight,
-                      static_cast<std::int64_t>(m_callers->requestsInFlight()));
+                      static_cast<std::int64_t>(m_callerServer->requestsInFlight()));
         if (m_upstreams.isKnown())
             m_metrics.set(Gauge::UpstreamListAgeMillis, wholeMillis(m_upstreams.age()));
-        countBytes();
-        tellPlacementListAge();
+        updateByteCounters();
+        updatePlacementListAge();
         m_metrics.assign(Counter::PlatformCalls, m_store.calls());
         m_metrics.assign(Counter::PlatformFailures, m_store.failures());
         m_metrics.assign(Counter::LogLinesSuppressed, m_log->suppressedLines());
@@ -238,10 +240,10 @@
         return reply;
     }
 
-    /// Says what goes over this VM's link, by kind.
-    void countBytes()
+    /// Updates the byte counters of this VM's connections, by kind.
+    void updateByteCounters()
     {
-        const HttpTraffic callers = m_callers->traffic();
+        const HttpTraffic callers = m_callerServer->traffic();
         m_metrics.assign(Counter::CallerBytesReceived, callers.m_bytesReceived);
         m_metrics.assign(Counter::CallerBytesSent, callers.m_bytesSent);
         const FrameTraffic peers = m_peers.traffic();
@@ -253,7 +255,7 @@
         m_metrics.assign(Counter::MetricsBytesSent, m_metricsServer->traffic().m_bytesSent);
     }
 
-    void tellPlacementListAge()
+    void updatePlacementListAge()
     {
         if (const auto millis = m_traffic.takePlacementListAge())
             m_metrics.set(Gauge::PlacementListAgeMillis, *millis);
@@ -263,12 +265,12 @@
 
     void adopt(const ServingViewPointer &view)
     {
-        m_callers->limitTo(limitsOf(view->config().m_limits));
+        m_callerServer->limitTo(limitsOf(view->config().m_limits));
         m_trafficLoop.spawn([this, view] { m_traffic.setView(view); });
         m_peers.announceToAll();
     }
 
-    void writeLog()
+    void flushLog()
     {
         while (!m_context.m_isStopping) {
             m_log->flush();
@@ -276,36 +278,36 @@
         }
     }
 
-    /// Says when this thread was busy or waited for the processor for so long that whatever came in
-    /// meanwhile was read late.
+    /// Logs when this thread was busy or waited for the processor so long that input was processed
+    /// late.
     void watchLoop(const char *name)
     {
-        while (!m_isEnded) {
+        while (!m_hasEnded) {
             const TimePoint due = m_clock.now() + loopTick;
             sleepFiber(loopTick);
             const Duration late = m_clock.now() - due;
-            if (late >= lateLoop)
+            if (late >= loopLatenessLimit)
                 m_log->warning("loop-late",
                                {{LogField::Name, name}, {LogField::Millis, toMillis(late)}});
         }
     }
 
-    /// What is due by the clock: reloads without a signal, counts of what the log held back.
-    void keepHouse()
+    /// Performs periodic work: reloads without a signal, reports of suppressed log lines.
+    void runPeriodicTasks()
     {
         Duration sinceReport{};
         while (!m_context.m_isStopping) {
             sleepFiber(settingsTick);
             readSettings("file");
             sinceReport += settingsTick;
-            if (sinceReport < suppressedTick)
+            if (sinceReport < suppressedReportInterval)
                 continue;
             sinceReport = Duration::zero();
             m_log->reportSuppressed();
         }
     }
 
-    /// Takes over what may change while the process runs. Addresses it listens at may not.
+    /// Applies the settings that may change while the process runs. Listening addresses may not.
     void readSettings(const char *source)
     {
         const auto settings = m_readAgain();
@@ -321,13 +323,14 @@
                     {{LogField::Source, source}, {LogField::State, isMoved ? "moved" : "kept"}});
     }
 
-    /// Waits until no caller is connected, but not longer than until the time given. Returns
-    /// whether none is left. A connection that was accepted last may bring its request any moment:
-    /// with requests alone counted, a process ended between a caller's connection and its request,
-    /// or while that was read, and the caller got no answer.
+    /// Waits until no caller is connected, or until the given time. Returns whether none is left.
+    /// Connections are counted rather than requests, as a newly accepted connection may deliver its
+    /// request at any time: if only requests counted, the process could end between a caller's
+    /// connection and its request, or while the request was being read, and the caller got no
+    /// answer.
     bool awaitNoCallers(TimePoint end)
     {
-        while (m_callers->hasCallers()) {
+        while (m_callerServer->hasCallers()) {
             if (m_clock.now() >= end)
                 return false;
             sleepFiber(drainTick);
@@ -335,17 +338,17 @@
         return true;
     }
 
-    /// Guards against requests that end with the process: one that was read and passed on, and is
-    /// still at its upstream when the grace time is over, got not a byte of an answer. It is given
-    /// up instead, and its caller told what is known of it.
-    void endLastCalls()
+    /// Cancels the requests that are still at their upstream when the grace time is over. Without
+    /// that they ended with the process, and their callers received no byte of an answer; now each
+    /// caller is told what is known of its request.
+    void cancelLastCalls()
     {
-        m_cut = m_trafficLoop.call([this] { return m_traffic.cancelCalls(); });
+        m_cancelledRequests = m_trafficLoop.call([this] { return m_traffic.cancelCalls(); });
         if (awaitNoCallers(m_clock.now() + lastAnswersTime))
             return;
-        // Who has not taken an answer by now is cut, and the log says whose answer that was. One
-        // whose request is still on its way may yet be refused.
-        m_callers->cutAnswers();
+        // Connections whose caller has not received its answer by now are closed, and the log says
+        // whose answer that was. One whose request is still arriving may yet be refused.
+        m_callerServer->cutAnswers();
         awaitNoCallers(m_clock.now() + lastLinesTime);
     }
 
@@ -353,29 +356,31 @@
     {
         const TimePoint begun = m_clock.now();
         const Duration grace = m_settings.m_bounds.m_shutdownGrace - graceMargin;
-        m_log->info("draining", {{LogField::Count, m_callers->requestsInFlight()},
-                                 {LogField::Connections, m_callers->connections()}});
+        m_log->info("draining", {{LogField::Count, m_callerServer->requestsInFlight()},
+                                 {LogField::Connections, m_callerServer->connections()}});
         m_duties.resign();
-        m_callers->announceClose();
+        m_callerServer->announceClose();
         sleepFiber(std::min(acceptAfterTerm, grace / acceptPartsOfGrace));
-        m_callers->stopAccepting();
+        m_callerServer->stopAccepting();
         const bool isAnswered = awaitNoCallers(begun + grace);
         if (!isAnswered)
-            endLastCalls();
+            cancelLastCalls();
         m_log->info("drained", {{LogField::Reason, isAnswered ? "no-callers" : "grace-over"},
-                                {LogField::Count, m_cut.load()},
-                                {LogField::Connections, m_callers->connections()},
+                                {LogField::Count, m_cancelledRequests.load()},
+                                {LogField::Connections, m_callerServer->connections()},
                                 {LogField::Millis, toMillis(m_clock.now() - begun)}});
-        // Leaving the registry of a silent store outlasts the grace time, and with it the process.
+        // While the store is silent, leaving the registry takes longer than the grace time, so the
+        // process may be killed before the next flush.
         m_log->flush();
-        // All that this process will ever count: its peers are told so, and wait for no more.
+        // The final counts of this process: the report marks it as leaving, so that its peers don't
+        // wait for more.
         m_peers.collectReport();
         m_context.m_isStopping = true;
-        const TimePoint farewellEnd = m_clock.now() + farewellTime;
+        const TimePoint finalReportEnd = m_clock.now() + finalReportTime;
         m_peers.sendFinalReport();
         m_registry.leave();
-        m_peers.awaitFinalReport(farewellEnd);
-        m_isEnded = true;
+        m_peers.awaitFinalReport(finalReportEnd);
+        m_hasEnded = true;
         kill(getpid(), endSignal);
     }
 
@@ -394,30 +399,31 @@
     EntryUpstreamFeed m_upstreams;
     EntryPeers m_peers;
     EntryRegistry m_registry;
-    EntryStoreRelay m_news;
+    EntryStoreRelay m_storeRelay;
     EntryDuties m_duties;
-    std::optional<HttpServer> m_callers;
-    std::optional<HttpServer> m_ready;
+    std::optional<HttpServer> m_callerServer;
+    std::optional<HttpServer> m_readyServer;
     std::optional<HttpServer> m_metricsServer;
-    std::atomic<std::size_t> m_cut = 0;
+    std::atomic<std::size_t> m_cancelledRequests = 0;
     std::atomic<bool> m_isShuttingDown = false;
-    std::atomic<bool> m_isEnded = false;
+    std::atomic<bool> m_hasEnded = false;
 };
 
 } // namespace
 
 Result<std::size_t> runEntryDaemon(const EntrySettings &settings, ReadEntrySettings readAgain)
 {
-    // Blocked before any thread begins, so that only this one, which waits for them, gets them.
+    // Blocked before any thread starts, so that only this thread, which waits for them, receives
+    // them.
     const sigset_t signals = handledSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
-    // Its fibers refer to it until the process ends; see FiberLoop::stop.
+    // Not deleted, as its fibers refer to it until the process ends; see FiberLoop::stop.
     auto *daemon = new EntryDaemon(settings, std::move(readAgain));
     const auto started = daemon->start();
     if (!succeeded(started))
         return errorOf(started);
-    while (!daemon->isEnded()) {
+    while (!daemon->hasEnded()) {
         int signal = 0;
         sigwait(&signals, &signal);
         if (signal == SIGHUP)
@@ -426,7 +432,7 @@
             daemon->shutDown();
     }
     daemon->stop();
-    return daemon->cutRequests();
+    return daemon->cancelledRequests();
 }
 
 } // namespace gypsumdale
--- a/src/entry/entry_duties.cpp
+++ b/src/entry/entry_duties.cpp
@@ -11,8 +11,8 @@
 constexpr Duration leaseTick = std::chrono::milliseconds(150);
 constexpr Duration usageTick = std::chrono::milliseconds(400);
 constexpr Duration scaleTick = std::chrono::milliseconds(400);
-/// An order that has not shown after the boot time and this is sent again.
-constexpr Duration orderPatience = std::chrono::seconds(4);
+/// An order that has had no effect after the boot time plus this is sent again.
+constexpr Duration orderTimeout = std::chrono::seconds(4);
 
 DutyLeaseSettings leaseSettings(const EntrySettings &settings)
 {
@@ -52,14 +52,14 @@
 {
     while (!m_context.m_isStopping && m_cloud) {
         if (contendsForLease(m_config.role(), m_lease.fence(bootNow()).has_value()))
-            takeLeaseStep();
-        noteHolding();
+            performLeaseStep();
+        publishHolding();
         sleepFiber(leaseTick);
     }
     m_peers.setDuty(0, 0);
 }
 
-void EntryDuties::takeLeaseStep()
+void EntryDuties::performLeaseStep()
 {
     std::visit(Overloaded{[](const NoLeaseAction &) {}, [this](const ReadLease &) { read(); },
                           [this](const WriteLease &step) {
@@ -99,7 +99,7 @@
     m_lease.onWritten(stored, sentAt);
 }
 
-void EntryDuties::noteHolding()
+void EntryDuties::publishHolding()
 {
     const std::int64_t fence = m_lease.fence(bootNow()).value_or(0);
     m_peers.setDuty(fence, m_lease.revision());
@@ -112,7 +112,8 @@
     m_loggedFence = fence;
 }
 
-bool EntryDuties::handle(const platform::CloudReply &reply, std::int64_t fence, const char *call)
+bool EntryDuties::handleReply(const platform::CloudReply &reply, std::int64_t fence,
+                              const char *call)
 {
     const bool isAccepted = reply.m_verdict == platform::CloudVerdict::Accepted;
     if (isAccepted)
@@ -144,12 +145,12 @@
     if (!loadLedger())
         return;
     m_windows.setDue(m_context.m_settings.m_bounds.m_usageDue);
-    const UsageWindows::FleetObservation seen = look();
-    const auto heard = [this](WindowNumber window) {
+    const UsageWindows::FleetObservation seen = observeFleet();
+    const auto receivedCounts = [this](WindowNumber window) {
         return m_context.m_trafficLoop.call(
                 [this, window] { return m_context.m_traffic.usageOf(window); });
     };
-    if (auto next = m_windows.ledgerToStore(seen, heard))
+    if (auto next = m_windows.ledgerToStore(seen, receivedCounts))
         storeLedger(*std::move(next));
     for (const UsageReport &report : m_windows.dueReports(seen.m_now)) {
         if (sendWindow(report))
@@ -157,7 +158,7 @@
     }
 }
 
-UsageWindows::FleetObservation EntryDuties::look()
+UsageWindows::FleetObservation EntryDuties::observeFleet()
 {
     UsageWindows::FleetObservation seen;
     seen.m_now = m_context.m_trafficLoop.call([this] { return m_context.m_traffic.wallNow(); });
@@ -165,7 +166,8 @@
     return seen;
 }
 
-/// Reads what earlier holders fixed and noted. Returns false if the store doesn't say.
+/// Reads the counts that earlier holders fixed and noted. Returns false if the store doesn't
+/// answer.
 bool EntryDuties::loadLedger()
 {
     const std::int64_t fence = m_lease.fence(bootNow()).value_or(0);
@@ -181,8 +183,8 @@
 }
 
 /// Fixes counts in the store before they are reported: two reports of one window with different
-/// counts are an error that can't be taken back, and a holder that dies after its report leaves its
-/// successor with other sums.
+/// counts are an error that can't be corrected, and a successor of a holder that died after its
+/// report would compute other sums.
 void EntryDuties::storeLedger(UsageLedger next)
 {
     const platform::StoreObject object = platform::encodeUsage(next, m_ledgerRevision);
@@ -190,7 +192,8 @@
                                  ? m_context.m_store.create(platform::dutyKind, object)
                                  : m_context.m_store.replace(platform::dutyKind, object);
     if (!succeeded(written)) {
-        // It may have been done all the same: what stands there is read before more is written.
+        // The write may have succeeded in spite of the error, so the object is read before the next
+        // write.
         m_ledgerRevision = -1;
         m_context.m_log.warning("usage-not-fixed",
                                 {{LogField::Count, next.m_provisional.size()},
@@ -208,7 +211,7 @@
         return false;
     const auto reply = m_cloud->reportUsage({m_context.m_settings.m_node, *fence}, report.m_window,
                                             report.m_counts);
-    if (!handle(reply, *fence, "usage"))
+    if (!handleReply(reply, *fence, "usage"))
         return false;
     m_context.m_log.info("usage-reported", {{LogField::Window, report.m_window},
                                             {LogField::Fence, *fence},
@@ -232,7 +235,7 @@
     }
 }
 
-int EntryDuties::present(const ScaleOrder &order) const
+int EntryDuties::countPresent(const ScaleOrder &order) const
 {
     const auto &upstreams = m_upstreams.upstreams();
     return static_cast<int>(
@@ -258,11 +261,11 @@
     const TimePoint now = m_context.now();
     for (const ScaleOrder &order : m_planner.plan(input, now)) {
         const OrderKey key{{order.m_service, order.m_dataCentre}, order.m_isReclaimable};
-        const auto sent = m_sent.find(key);
-        const Duration patience = service.m_scaling->m_bootTime + orderPatience;
-        const bool isNew = sent == m_sent.end() || sent->second.m_count != order.m_count;
+        const auto sent = m_sentOrders.find(key);
+        const Duration timeout = service.m_scaling->m_bootTime + orderTimeout;
+        const bool isNew = sent == m_sentOrders.end() || sent->second.m_count != order.m_count;
         const bool isMissing =
-                !isNew && present(order) != order.m_count && now > sent->second.m_at + patience;
+                !isNew && countPresent(order) != order.m_count && now > sent->second.m_at + timeout;
         if (isNew || isMissing)
             send(order);
     }
@@ -274,14 +277,14 @@
     if (!fence)
         return;
     if (*fence != m_sentFence) {
-        // What an earlier holder ordered is not known here.
-        m_sent.clear();
+        // Orders of an earlier holder are not known here.
+        m_sentOrders.clear();
         m_sentFence = *fence;
     }
     const auto reply = m_cloud->order({m_context.m_settings.m_node, *fence}, order);
     if (reply.m_verdict == platform::CloudVerdict::Unavailable)
         m_planner.recordRefusal(order, m_context.now());
-    const bool isAccepted = handle(reply, *fence, "scale");
+    const bool isAccepted = handleReply(reply, *fence, "scale");
     const auto running = m_peers.report().m_running.find(order.m_service);
     const double inFlight = running == m_peers.report().m_running.end() ? 0 : running->second;
     m_context.m_log.info(
@@ -291,13 +294,13 @@
              {LogField::UpstreamDataCentre, order.m_dataCentre},
              {LogField::Kind, order.m_isReclaimable ? "reclaimable" : "steady"},
              {LogField::Count, order.m_count},
-             {LogField::Running, present(order)},
+             {LogField::Running, countPresent(order)},
              {LogField::Fence, *fence},
              {LogField::Outcome, nameIn(platform::cloudVerdictNames, reply.m_verdict)}});
     if (!isAccepted)
         return;
     const OrderKey key{{order.m_service, order.m_dataCentre}, order.m_isReclaimable};
-    m_sent[key] = {order.m_count, m_context.now()};
+    m_sentOrders[key] = {order.m_count, m_context.now()};
 }
 
 } // namespace gypsumdale
--- a/src/entry/entry_peers.cpp
+++ b/src/entry/entry_peers.cpp
@@ -15,18 +15,19 @@
 
 namespace {
 
-/// Longest wait for a peer's answer, above a round trip between data centres and a slow VM.
+/// Longest wait for a peer's answer: more than a round trip between data centres and a slow VM
+/// take.
 constexpr Duration exchangeTimeout = std::chrono::milliseconds(600);
-/// Peers asked at each exchange time by a VM that the store doesn't answer, which may not wait for
-/// the slow pace of a large fleet.
-constexpr std::size_t askedOutOfTurn = 3;
-/// A whole text that makes progress is waited for, however slow the link is.
+/// Number of additional peers asked at each exchange time by a VM that the store doesn't answer, as
+/// the long interval of a large fleet would be too slow for it.
+constexpr std::size_t peersOutOfTurn = 3;
+/// A full text that makes progress is waited for, however slow the link is.
 constexpr ExchangeLimits textLimits{std::chrono::milliseconds(800), std::chrono::seconds(20)};
-/// Peers told of a process's end in a large fleet: to tell all would take a VM with a tenth of a
-/// core longer than is left of its grace time.
-constexpr std::size_t farewellsInLargeFleet = 8;
-constexpr Duration farewellTick = std::chrono::milliseconds(10);
-constexpr std::size_t largestFrame = std::size_t{4} * 1024 * 1024;
+/// Number of peers that receive the final report in a large fleet. Sending it to all would take a
+/// VM with a tenth of a core longer than is left of its grace time.
+constexpr std::size_t largeFleetFinalReports = 8;
+constexpr Duration finalReportTick = std::chrono::milliseconds(10);
+constexpr std::size_t maxFrameBytes = std::size_t{4} * 1024 * 1024;
 
 Endpoint endpointOf(const std::string &address)
 {
@@ -44,8 +45,9 @@
     return fmt::format("{}:{}", address.m_ip, address.m_port);
 }
 
-/// Returns where peers reach a VM; behind a forwarded port that isn't where it listens.
-const Address &advertisedBy(const EntrySettings &settings)
+/// Returns the address at which peers reach a VM, which behind a forwarded port differs from its
+/// listening address.
+const Address &advertisedAddress(const EntrySettings &settings)
 {
     return settings.m_peerAdvertise ? *settings.m_peerAdvertise : settings.m_peerListen;
 }
@@ -56,7 +58,7 @@
     : m_context(context)
     , m_config(config)
     , m_upstreams(upstreams)
-    , m_table(textOf(advertisedBy(context.m_settings)))
+    , m_table(textOf(advertisedAddress(context.m_settings)))
     , m_fleetSize(context.now(), context.m_settings.m_isFirstStart)
     , m_writer(context, config, upstreams, m_table)
     , m_texts(context, config, upstreams, m_table, *this)
@@ -73,7 +75,7 @@
     const Address &address = m_context.m_settings.m_peerListen;
     auto server = FrameServer::listen(
             m_context.m_loop, {address.m_ip, address.m_port},
-            [this](const std::string &frame) { return answer(frame); }, largestFrame);
+            [this](const std::string &frame) { return answer(frame); }, maxFrameBytes);
     if (!succeeded(server))
         return errorOf(server);
     m_server.emplace(valueOf(std::move(server)));
@@ -92,7 +94,7 @@
 void EntryPeers::setRegistered(std::size_t vms)
 {
     m_fleetSize.setRegistered(vms);
-    tellTraffic();
+    publishFleetSize();
 }
 
 void EntryPeers::run()
@@ -100,21 +102,21 @@
     while (!m_context.m_isStopping) {
         collectReport();
         expire();
-        tellTraffic();
+        publishFleetSize();
         m_upstreams.expire();
         for (const KnownPeerPointer &peer : m_table.selectDuePeers(m_context.now()))
             spawnExchange(peer);
         m_texts.startFetches();
         if (isLargeFleet() && m_config.isStoreLost() && !m_config.isFetching()) {
-            for (const KnownPeerPointer &peer : m_table.selectOutOfTurn(askedOutOfTurn))
+            for (const KnownPeerPointer &peer : m_table.selectOutOfTurn(peersOutOfTurn))
                 spawnExchange(peer);
         }
         sleepFiber(ExchangePacing::exchangeInterval);
     }
 }
 
-/// Tells the traffic thread how large the fleet is.
-void EntryPeers::tellTraffic()
+/// Passes the size of the fleet to the traffic thread.
+void EntryPeers::publishFleetSize()
 {
     const TimePoint now = m_context.now();
     const std::size_t livePeers = m_table.livePeers(now);
@@ -138,7 +140,7 @@
     }
     for (const KnownPeerPointer &peer : silence.m_gone) {
         if (!peer->m_isSeed)
-            m_closedTraffic += peer->m_channel->traffic();
+            m_closedChannelTraffic += peer->m_channel->traffic();
         if (peer->m_node.empty())
             continue;
         m_context.m_trafficLoop.spawn(
@@ -148,7 +150,7 @@
 
 FrameTraffic EntryPeers::traffic() const
 {
-    FrameTraffic sum = m_closedTraffic;
+    FrameTraffic sum = m_closedChannelTraffic;
     if (m_server)
         sum += m_server->traffic();
     for (const auto &[address, peer] : m_table.peers())
@@ -170,20 +172,21 @@
             m_context.m_trafficLoop.call([this] { return m_context.m_traffic.report(); }));
 }
 
-/// Guards against counts that end with the process: what it had counted since the last exchange was
-/// billed to nobody, and its peers waited for its word on every window of the next half minute.
+/// Prevents that counts are lost with the process: otherwise what it had counted since the last
+/// exchange was billed to nobody, and its peers waited for its report on every window of the next
+/// half minute.
 void EntryPeers::sendFinalReport()
 {
-    for (const KnownPeerPointer &peer : farewellPeers()) {
-        ++m_farewellsUnderWay;
+    for (const KnownPeerPointer &peer : finalReportPeers()) {
+        ++m_pendingFinalReports;
         m_context.m_loop.spawn([this, peer] {
             exchange(peer);
-            --m_farewellsUnderWay;
+            --m_pendingFinalReports;
         });
     }
 }
 
-std::vector<KnownPeerPointer> EntryPeers::farewellPeers() const
+std::vector<KnownPeerPointer> EntryPeers::finalReportPeers() const
 {
     std::vector<KnownPeerPointer> peers = m_table.respondingPeers(m_context.now());
     const auto isHolder = [this](const KnownPeerPointer &peer) {
@@ -191,16 +194,16 @@
     };
     std::stable_partition(peers.begin(), peers.end(), isHolder);
     if (isLargeFleet())
-        peers.resize(std::min(peers.size(), farewellsInLargeFleet));
+        peers.resize(std::min(peers.size(), largeFleetFinalReports));
     return peers;
 }
 
 void EntryPeers::awaitFinalReport(TimePoint end)
 {
-    while (m_farewellsUnderWay > 0 && m_context.now() < end)
-        sleepFiber(farewellTick);
-    if (m_farewellsUnderWay > 0)
-        m_context.m_log.warning("farewell-not-taken", {{LogField::Count, m_farewellsUnderWay}});
+    while (m_pendingFinalReports > 0 && m_context.now() < end)
+        sleepFiber(finalReportTick);
+    if (m_pendingFinalReports > 0)
+        m_context.m_log.warning("farewell-not-taken", {{LogField::Count, m_pendingFinalReports}});
 }
 
 void EntryPeers::announceLoad(const UpstreamId &upstream, InFlightLoad load)
@@ -243,7 +246,7 @@
     const auto answer = ask(peer, message, exchangeTimeout);
     peer->m_isBusy = false;
     if (succeeded(answer))
-        take(valueOf(answer));
+        applyMessage(valueOf(answer));
 }
 
 Result<entrywire::EntryExchange>
@@ -272,17 +275,17 @@
                                 {{LogField::Address, peer->m_address}});
         return decoded;
     }
-    hearMark(*peer, valueOf(decoded));
+    recordTimestamp(*peer, valueOf(decoded));
     return decoded;
 }
 
-void EntryPeers::hearMark(KnownPeer &peer, const entrywire::EntryExchange &message)
+void EntryPeers::recordTimestamp(KnownPeer &peer, const entrywire::EntryExchange &message)
 {
     if (const auto mark = readStamp(message).m_mark)
         peer.m_mark.recordReceived(*mark, m_context.now());
 }
 
-/// Returns the stamp of a message to a peer, or to a VM that this one doesn't know, for nullptr.
+/// Returns the stamp of a message to a peer, or, for nullptr, to a VM that this one doesn't know.
 MessageStamp EntryPeers::stampFor(const KnownPeer *peer) const
 {
     const TimePoint now = m_context.now();
@@ -310,23 +313,23 @@
     if (received.__isset.news) {
         entrywire::EntryExchange taken;
         taken.__isset.newsTaken = true;
-        if (m_newsHeard)
-            taken.newsTaken = m_newsHeard(received.news, sentAfter(received));
+        if (m_storeUpdateReceived)
+            taken.newsTaken = m_storeUpdateReceived(received.news, sentAfter(received));
         writeStamp(stampFor(nullptr), taken);
         return wire::encode(taken);
     }
     if (received.__isset.loadNews) {
-        takeLoad(received.loadNews);
+        applyLoad(received.loadNews);
         return wire::encode(entrywire::EntryExchange());
     }
     if (received.__isset.textRequest)
         return answerText(received);
     if (received.digest.protocol != ExchangeWriter::protocolVersion)
         return std::string();
-    take(received);
+    applyMessage(received);
     const KnownPeerPointer peer = m_table.find(received.digest.address);
     if (peer)
-        hearMark(*peer, received);
+        recordTimestamp(*peer, received);
     entrywire::EntryExchange message = m_writer.message(peer.get());
     writeStamp(stampFor(peer.get()), message);
     return wire::encode(message);
@@ -336,13 +339,13 @@
 {
     const KnownPeerPointer peer = m_table.find(received.textRequest.address);
     if (peer)
-        hearMark(*peer, received);
+        recordTimestamp(*peer, received);
     TextReply reply = m_texts.answer(received.textRequest);
     writeStamp(stampFor(peer.get()), *reply.m_message);
     return {wire::encode(*reply.m_message), std::move(reply.m_held)};
 }
 
-void EntryPeers::takeLoad(const entrywire::LoadNews &news)
+void EntryPeers::applyLoad(const entrywire::LoadNews &news)
 {
     const UpstreamId upstream(news.load.upstream);
     m_context.m_trafficLoop.spawn([this, node = news.node, upstream, load = loadOf(news.load)] {
@@ -350,10 +353,10 @@
     });
 }
 
-void EntryPeers::take(const entrywire::EntryExchange &message)
+void EntryPeers::applyMessage(const entrywire::EntryExchange &message)
 {
     recordReceived(message);
-    // Processes of an earlier version send texts unasked.
+    // Processes of an earlier version send texts without a request.
     if (message.__isset.configText)
         m_config.applyFromPeer(message.configText, message.digest.node);
     if (message.__isset.upstreamText)
@@ -371,7 +374,8 @@
     const KnownPeerPointer peer = m_table.find(digest.address);
     if (!peer)
         return;
-    // Its lower totals would be taken for those of a restarted VM, and counted once more.
+    // The lower totals of a superseded digest would be taken for those of a restarted VM, and
+    // counted again.
     const auto mark = readStamp(message).m_mark;
     if (mark && !peer->m_newestDigest.take(*mark)) {
         m_context.m_log.info("digest-overtaken", {{LogField::Peer, digest.node}});
@@ -383,13 +387,14 @@
         learn(known.node, known.address, false);
     if (digest.dutyFence > 0)
         m_holderAddress = digest.address;
-    if (digest.dutyFence > 0 && m_dutyHeard)
-        m_dutyHeard(digest.dutyFence, digest.dutyRevision);
-    // The traffic thread may be busy: what waited for it would make the peer's clock look slow.
-    m_context.m_trafficLoop.spawn([this, digest, heardAt = bootNow()] {
-        const WallMillis wallAtHearing =
-                m_context.m_traffic.wallNow() - wholeMillis(bootNow() - heardAt);
-        m_context.m_traffic.setPeer(decodeReport(digest, wallAtHearing));
+    if (digest.dutyFence > 0 && m_dutyReported)
+        m_dutyReported(digest.dutyFence, digest.dutyRevision);
+    // The traffic thread may be busy. Without the correction for the time spent waiting for it, the
+    // peer's clock would appear slow.
+    m_context.m_trafficLoop.spawn([this, digest, receivedAt = bootNow()] {
+        const WallMillis wallAtReceipt =
+                m_context.m_traffic.wallNow() - wholeMillis(bootNow() - receivedAt);
+        m_context.m_traffic.setPeer(decodeReport(digest, wallAtReceipt));
     });
 }
 
--- a/src/entry/entry_registry.cpp
+++ b/src/entry/entry_registry.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// How often the registry is read; a stale read does, at a tenth of the price.
-constexpr Duration registryEvery = std::chrono::seconds(6);
-constexpr Duration registryRetry = std::chrono::milliseconds(700);
+/// Interval at which the registry is read. Stale reads are sufficient, at a tenth of the price.
+constexpr Duration registryInterval = std::chrono::seconds(6);
+constexpr Duration registryRetryDelay = std::chrono::milliseconds(700);
 
 } // namespace
 
@@ -21,10 +21,10 @@
         const auto listing =
                 m_context.m_store.list(platform::nodeKind, platform::ReadFreshness::MayBeStale);
         if (succeeded(listing)) {
-            const bool hasOwn = take(valueOf(listing));
+            const bool hasOwn = addPeers(valueOf(listing));
             isRegistered = isRegistered && hasOwn;
         }
-        sleepFiber(isRegistered && succeeded(listing) ? registryEvery : registryRetry);
+        sleepFiber(isRegistered && succeeded(listing) ? registryInterval : registryRetryDelay);
     }
 }
 
@@ -38,8 +38,8 @@
     return succeeded(written);
 }
 
-/// Learns the peers of the registry. Returns false if this VM isn't among them.
-bool EntryRegistry::take(const platform::StoreListing &listing)
+/// Adds the peers of the registry. Returns false if this VM isn't in it.
+bool EntryRegistry::addPeers(const platform::StoreListing &listing)
 {
     bool hasOwn = false;
     std::set<NodeId> listed;
@@ -51,23 +51,23 @@
             continue;
         }
         m_peers.learn(node.m_node.text(), node.m_address, false);
-        removeIfGone(node);
+        removeIfExpired(node);
     }
     m_peers.setRegistered(listed.size());
-    m_silence.retainListed(listed);
+    m_expiry.retainListed(listed);
     return hasOwn;
 }
 
-/// Entries of VMs that were lost without a word stay in the registry, and every VM would call at
-/// their addresses for ever. Whoever holds the duties removes them; a VM that was only cut off
-/// finds its entry missing and writes it again.
-void EntryRegistry::removeIfGone(const platform::NodeRecord &node)
+/// Entries of VMs that ended without leaving stay in the registry, and every VM would call their
+/// addresses forever. The holder of the duties removes them; a VM that was only partitioned finds
+/// its entry missing and writes it again.
+void EntryRegistry::removeIfExpired(const platform::NodeRecord &node)
 {
-    const bool isGone =
-            m_silence.recordEntry(node.m_node, m_peers.isLivePeer(node.m_address), m_context.now());
-    if (!isGone || !m_peers.holdsDuty())
+    const bool isExpired =
+            m_expiry.recordEntry(node.m_node, m_peers.isLivePeer(node.m_address), m_context.now());
+    if (!isExpired || !m_peers.holdsDuty())
         return;
-    m_silence.forget(node.m_node);
+    m_expiry.forget(node.m_node);
     const auto removed = m_context.m_store.remove(platform::nodeKind, node.m_node.text());
     m_context.m_log.info("registry-entry-removed",
                          {{LogField::Peer, node.m_node.text()},
--- a/src/entry/entry_store_relay.cpp
+++ b/src/entry/entry_store_relay.cpp
@@ -16,25 +16,26 @@
 
 namespace {
 
-/// Readers of a data centre: with two, the loss of one goes unnoticed.
-constexpr std::size_t readers = 2;
+/// Number of readers in a data centre. With two, the loss of one has no effect.
+constexpr std::size_t readersPerDataCentre = 2;
 constexpr const char *readersKey = "store-reader";
-/// Stands for no revision in a message that brings the whole list.
-constexpr std::int64_t wholeList = -1;
-/// Stands for a store that was never away.
-constexpr std::int64_t neverAway = -1;
-/// Larger configurations are read from the store by each VM: sent to all of a data centre, they
-/// would hold up the slowest link of a VM for longer than followers wait.
-constexpr std::size_t largestConfigSent = std::size_t{32} * 1024;
-
-entrywire::StoreNews wireNews(const UpstreamListUpdate &upstreams)
+/// Value of sinceRevision in a message with the full list.
+constexpr std::int64_t fullList = -1;
+/// Value of storeReturnedAgoMillis for a store that was never unavailable.
+constexpr std::int64_t neverUnavailable = -1;
+/// A larger configuration is read from the store by each VM: sent to all VMs of a data centre, it
+/// would occupy the slowest link of a VM for longer than followers wait.
+constexpr std::size_t maxSentConfigBytes = std::size_t{32} * 1024;
+
+entrywire::StoreNews encodeUpdate(const UpstreamListUpdate &upstreams)
 {
     entrywire::StoreNews news;
     news.newestChange = upstreams.m_newestChange;
-    news.sinceRevision = upstreams.m_sinceRevision.value_or(wholeList);
+    news.sinceRevision = upstreams.m_sinceRevision.value_or(fullList);
     news.upstreamRevision = upstreams.m_revision;
-    news.storeReturnedAgoMillis =
-            upstreams.m_storeReturnedAgo ? wholeMillis(*upstreams.m_storeReturnedAgo) : neverAway;
+    news.storeReturnedAgoMillis = upstreams.m_storeReturnedAgo
+                                          ? wholeMillis(*upstreams.m_storeReturnedAgo)
+                                          : neverUnavailable;
     std::map<UpstreamId, UpstreamRecord> present;
     for (const UpstreamChange &change : upstreams.m_changes) {
         const UpstreamId &id = change.m_record.m_id;
@@ -60,14 +61,14 @@
     }
 }
 
-UpstreamListUpdate upstreamNews(const entrywire::StoreNews &news)
+UpstreamListUpdate decodeUpdate(const entrywire::StoreNews &news)
 {
     UpstreamListUpdate upstreams;
     upstreams.m_newestChange = news.newestChange;
     upstreams.m_revision = news.upstreamRevision;
-    if (news.sinceRevision != wholeList)
+    if (news.sinceRevision != fullList)
         upstreams.m_sinceRevision = news.sinceRevision;
-    if (news.storeReturnedAgoMillis != neverAway)
+    if (news.storeReturnedAgoMillis != neverUnavailable)
         upstreams.m_storeReturnedAgo = std::chrono::milliseconds(news.storeReturnedAgoMillis);
     if (!news.upstreamText.empty()) {
         for (const auto &[id, record] : platform::decodeUpstreamText(news.upstreamText))
@@ -89,21 +90,21 @@
 {
     m_peers.onStoreUpdate(
             [this](const entrywire::StoreNews &news, std::optional<TimePoint> sentAfter) {
-                return take(news, sentAfter);
+                return applyUpdate(news, sentAfter);
             });
 }
 
 void EntryStoreRelay::run()
 {
     while (!m_context.m_isStopping) {
-        chooseRole();
-        if (m_role == StoreRole::Reader && m_pace.isDue(newsState(), m_context.now()))
-            tellAll();
+        selectRole();
+        if (m_role == StoreRole::Reader && m_pacing.isDue(updateState(), m_context.now()))
+            sendUpdates();
         sleepFiber(UpdatePacing::tick);
     }
 }
 
-void EntryStoreRelay::chooseRole()
+void EntryStoreRelay::selectRole()
 {
     StoreRole role = StoreRole::Alone;
     if (m_peers.isLargeFleet()) {
@@ -115,8 +116,9 @@
             if (peer.m_canReadStore)
                 candidates.push_back(peer.m_node);
         }
-        const bool isChosen = isRendezvousChoice(readersKey, candidates, readers, self);
-        role = isChosen ? StoreRole::Reader : StoreRole::Follower;
+        const bool isSelected =
+                isRendezvousChoice(readersKey, candidates, readersPerDataCentre, self);
+        role = isSelected ? StoreRole::Reader : StoreRole::Follower;
     }
     if (role == m_role)
         return;
@@ -130,52 +132,52 @@
                                         {LogField::Count, m_peers.dataCentrePeers().size()}});
 }
 
-UpdateState EntryStoreRelay::newsState() const
+UpdateState EntryStoreRelay::updateState() const
 {
     return {m_upstreams.newestChange(), m_config.version(), m_upstreams.readAt()};
 }
 
-void EntryStoreRelay::tellAll()
+void EntryStoreRelay::sendUpdates()
 {
     if (!m_upstreams.isKnown())
         return;
-    m_pace.recordSent(newsState(), m_context.now());
+    m_pacing.recordSent(updateState(), m_context.now());
     for (const DataCentrePeer &peer : m_peers.dataCentrePeers()) {
         if (m_followers[peer.m_peer->m_address].isDue(m_context.now()))
-            m_context.m_loop.spawn([this, peer] { tell(peer); });
+            m_context.m_loop.spawn([this, peer] { sendUpdate(peer); });
     }
 }
 
-/// Tells one follower what it lacks.
-void EntryStoreRelay::tell(const DataCentrePeer &peer)
+/// Sends one follower the changes that it is missing.
+void EntryStoreRelay::sendUpdate(const DataCentrePeer &peer)
 {
     m_followers[peer.m_peer->m_address].m_isBusy = true;
-    if (tellPart(peer, ConfigPart::Version).needsConfig)
-        tellPart(peer, ConfigPart::Whole);
+    if (sendPart(peer, ConfigContent::Version).needsConfig)
+        sendPart(peer, ConfigContent::FullText);
     m_followers[peer.m_peer->m_address].m_isBusy = false;
 }
 
 /// Returns what the follower still needs; nothing if it didn't answer.
-entrywire::StoreNewsTaken EntryStoreRelay::tellPart(const DataCentrePeer &peer, ConfigPart part)
+entrywire::StoreNewsTaken EntryStoreRelay::sendPart(const DataCentrePeer &peer, ConfigContent part)
 {
     const UpstreamListUpdate upstreams =
             m_upstreams.updateFor(m_followers[peer.m_peer->m_address].m_state);
     entrywire::EntryExchange message;
-    message.__set_news(wireNews(upstreams));
+    message.__set_news(encodeUpdate(upstreams));
     message.news.node = m_context.m_settings.m_node.text();
     message.news.upstreamAgeMillis = wholeMillis(m_upstreams.age());
     message.news.configVersion = m_config.version();
     message.news.configAgeMillis = wholeMillis(m_config.age());
-    message.news.configIsSent = m_config.text().size() <= largestConfigSent;
-    if (part == ConfigPart::Whole)
+    message.news.configIsSent = m_config.text().size() <= maxSentConfigBytes;
+    if (part == ConfigContent::FullText)
         message.news.__set_configText(m_config.text());
     const auto answer = m_peers.ask(peer.m_peer, message, UpdatePacing::receiptTimeout);
-    ReceiptBackoff &pause = m_followers[peer.m_peer->m_address].m_pause;
+    ReceiptBackoff &backoff = m_followers[peer.m_peer->m_address].m_backoff;
     if (!succeeded(answer)) {
-        pause.onMissed(m_context.now());
+        backoff.onMissed(m_context.now());
         return {};
     }
-    pause.onApplied();
+    backoff.onApplied();
     FollowerState &state = m_followers[peer.m_peer->m_address].m_state;
     if (!valueOf(answer).__isset.newsTaken) {
         state.onMissingChanges();
@@ -189,20 +191,20 @@
     return taken;
 }
 
-/// Takes what a reader tells. Returns what this VM lacks beyond that.
-entrywire::StoreNewsTaken EntryStoreRelay::take(const entrywire::StoreNews &news,
-                                                std::optional<TimePoint> sentAfter)
+/// Applies an update of a reader. Returns what this VM still needs.
+entrywire::StoreNewsTaken EntryStoreRelay::applyUpdate(const entrywire::StoreNews &news,
+                                                       std::optional<TimePoint> sentAfter)
 {
     if (news.__isset.configText)
         m_config.applyFromPeer(news.configText, news.node);
     const Duration configAge = std::chrono::milliseconds(news.configAgeMillis);
     const Duration upstreamAge = std::chrono::milliseconds(news.upstreamAgeMillis);
     entrywire::StoreNewsTaken taken;
-    const bool isWanted =
+    const bool isRequested =
             m_config.receiveUpdate(news.configVersion, {configAge, sentAfter}, news.configIsSent);
-    taken.needsConfig = isWanted && !m_config.isFetching();
+    taken.needsConfig = isRequested && !m_config.isFetching();
     taken.needsWholeList =
-            !m_upstreams.receiveUpdate(upstreamNews(news), {upstreamAge, sentAfter}, news.node);
+            !m_upstreams.receiveUpdate(decodeUpdate(news), {upstreamAge, sentAfter}, news.node);
     return taken;
 }
 
