--- a/src/entry/entry_texts.cpp
+++ b/src/entry/entry_texts.cpp
@@ -11,13 +11,14 @@
 
 namespace {
 
-/// Time for the store to bring a version that a peer tells of, in a small fleet, before a peer is
-/// asked; and for its bytes, at the pace of the slowest link. A VM cut off from the store notices
-/// that only when its watch fails, too late for a version to be in force in time.
+/// Time that the store has in a small fleet to provide a version that a peer reported, before a
+/// peer is asked, in addition to the transfer time on the slowest link. A VM that is partitioned
+/// from the store notices it only when its watch fails, too late for a version to be in force in
+/// time.
 constexpr Duration storeHeadStart = std::chrono::milliseconds(300);
 constexpr double slowestLinkBytesPerSecond = 1'250'000;
 
-/// Returns a number that differs between VMs and between their processes.
+/// Returns a number that differs between VMs and between processes of a VM.
 std::uint64_t seedOf(const EntryContext &context)
 {
     const std::size_t name = std::hash<std::string>()(context.m_settings.m_node.text());
@@ -41,65 +42,65 @@
 {
     if (m_context.m_isStopping)
         return;
-    pursueConfig();
-    pursueUpstreams();
+    fetchConfigIfDue();
+    fetchUpstreamsIfDue();
 }
 
-void EntryTexts::pursueConfig()
+void EntryTexts::fetchConfigIfDue()
 {
-    const TextFetchState need = configNeed();
-    const bool isLeftToStore = !need.m_isStoreLost && !need.m_storeHeadStart;
-    if (isLeftToStore || m_config.isReadingFullText())
+    const TextFetchState state = configFetchState();
+    const bool waitsForStore = !state.m_isStoreLost && !state.m_storeHeadStart;
+    if (waitsForStore || m_config.isReadingFullText())
         return;
     std::vector<TextSource> sources;
     for (const KnownPeerPointer &peer : m_table.respondingPeers(m_context.now()))
         sources.push_back({peer->m_address, peer->m_state.m_configVersion});
-    const auto address = m_configFetch.begin(need, sources, m_context.now());
+    const auto address = m_configFetch.begin(state, sources, m_context.now());
     if (address)
-        fetch(TextKind::Config, *address, need.m_isStoreLost ? "store-lost" : "behind");
+        startFetch(TextKind::Config, *address, state.m_isStoreLost ? "store-lost" : "behind");
 }
 
-/// A VM that has just started leaves the configuration to the store, and so does each VM of a large
-/// fleet, until that fails it.
-TextFetchState EntryTexts::configNeed() const
+/// A VM that has just started waits for the store to provide the configuration, and so does each VM
+/// of a large fleet, until the store fails.
+TextFetchState EntryTexts::configFetchState() const
 {
-    TextFetchState need;
-    need.m_ownVersion = m_config.version();
-    need.m_isStoreLost = m_config.isStoreLost();
-    if (need.m_ownVersion == 0 || m_table.pace(m_context.now()).isSpreadOut())
-        return need;
-    const std::chrono::duration<double> bytesTime(static_cast<double>(m_config.text().size())
-                                                  / slowestLinkBytesPerSecond);
-    need.m_storeHeadStart = storeHeadStart + std::chrono::duration_cast<Duration>(bytesTime);
-    return need;
+    TextFetchState state;
+    state.m_ownVersion = m_config.version();
+    state.m_isStoreLost = m_config.isStoreLost();
+    if (state.m_ownVersion == 0 || m_table.pace(m_context.now()).isSpreadOut())
+        return state;
+    const std::chrono::duration<double> transferTime(static_cast<double>(m_config.text().size())
+                                                     / slowestLinkBytesPerSecond);
+    state.m_storeHeadStart = storeHeadStart + std::chrono::duration_cast<Duration>(transferTime);
+    return state;
 }
 
-void EntryTexts::pursueUpstreams()
+void EntryTexts::fetchUpstreamsIfDue()
 {
     if (!m_upstreams.isStale())
         return;
-    TextFetchState need;
-    need.m_ownVersion = m_upstreams.revision();
-    need.m_isStoreLost = m_upstreams.isStoreLost();
-    // A list that has gone stale has waited for the store long enough.
+    TextFetchState state;
+    state.m_ownVersion = m_upstreams.revision();
+    state.m_isStoreLost = m_upstreams.isStoreLost();
+    // A stale list has waited for the store long enough.
     if (m_upstreams.isKnown())
-        need.m_storeHeadStart = Duration::zero();
+        state.m_storeHeadStart = Duration::zero();
     std::vector<TextSource> sources;
     for (const KnownPeerPointer &peer : m_table.respondingPeers(m_context.now())) {
         if (!peer->m_state.m_isUpstreamListStale)
             sources.push_back({peer->m_address, peer->m_state.m_upstreamRevision});
     }
-    const auto address = m_upstreamFetch.begin(need, sources, m_context.now());
+    const auto address = m_upstreamFetch.begin(state, sources, m_context.now());
     if (address)
-        fetch(TextKind::Upstreams, *address, need.m_isStoreLost ? "store-lost" : "stale");
+        startFetch(TextKind::Upstreams, *address, state.m_isStoreLost ? "store-lost" : "stale");
 }
 
-void EntryTexts::fetch(TextKind kind, const std::string &address, const char *reason)
+void EntryTexts::startFetch(TextKind kind, const std::string &address, const char *reason)
 {
     const KnownPeerPointer peer = m_table.find(address);
     m_context.m_log.info("text-asked", {{LogField::Kind, nameIn(textKindNames, kind)},
                                         {LogField::Peer, peer->m_node},
-                                        {LogField::Revision, held(kind)},
+                                        {LogField::Revision, heldVersion(kind)},
                                         {LogField::Reason, reason}});
     if (kind == TextKind::Config)
         m_config.setFetching(true);
@@ -112,24 +113,25 @@
 
 void EntryTexts::fetchFrom(TextKind kind, const KnownPeerPointer &peer)
 {
-    const TimePoint begunAt = m_context.now();
+    const TimePoint startedAt = m_context.now();
     entrywire::EntryExchange message;
     message.__isset.textRequest = true;
     message.textRequest.address = m_table.ownAddress();
     message.textRequest.text = static_cast<std::int32_t>(kind);
-    message.textRequest.held = held(kind);
+    message.textRequest.held = heldVersion(kind);
     const auto answer = m_peers.askForText(peer, message);
-    const Result<Done> taken =
-            succeeded(answer) ? take(kind, peer, valueOf(answer)) : Result<Done>(errorOf(answer));
+    const Result<Done> taken = succeeded(answer) ? applyAnswer(kind, peer, valueOf(answer))
+                                                 : Result<Done>(errorOf(answer));
     const TimePoint now = m_context.now();
     if (!succeeded(taken)) {
         fetchOf(kind).onFailed(now);
         const Error &error = errorOf(taken);
-        m_context.m_log.warning("text-not-fetched", {{LogField::Kind, nameIn(textKindNames, kind)},
-                                                     {LogField::Peer, peer->m_node},
-                                                     {LogField::ErrorName, errorName(error.m_id)},
-                                                     {LogField::Text, error.m_text},
-                                                     {LogField::Millis, toMillis(now - begunAt)}});
+        m_context.m_log.warning("text-not-fetched",
+                                {{LogField::Kind, nameIn(textKindNames, kind)},
+                                 {LogField::Peer, peer->m_node},
+                                 {LogField::ErrorName, errorName(error.m_id)},
+                                 {LogField::Text, error.m_text},
+                                 {LogField::Millis, toMillis(now - startedAt)}});
         return;
     }
     fetchOf(kind).onFetched();
@@ -138,24 +140,25 @@
                                           {LogField::Peer, peer->m_node},
                                           {LogField::Bytes,
                                            brought.configText.size() + brought.upstreamText.size()},
-                                          {LogField::Millis, toMillis(now - begunAt)}});
+                                          {LogField::Millis, toMillis(now - startedAt)}});
 }
 
-/// Takes what a peer answered. Fails where that was no later text.
-Result<Done> EntryTexts::take(TextKind kind, const KnownPeerPointer &peer,
-                              const entrywire::EntryExchange &answer)
+/// Applies a peer's answer. Returns an error if it contains no later text.
+Result<Done> EntryTexts::applyAnswer(TextKind kind, const KnownPeerPointer &peer,
+                                     const entrywire::EntryExchange &answer)
 {
     if (!answer.__isset.textAnswer)
-        return Error{ErrorId::PeerMalformed, "the peer doesn't answer requests for texts"};
+        return Error{ErrorId::PeerMalformed, "peer does not support text requests"};
     if (answer.textAnswer.isBusy)
-        return Error{ErrorId::PeerRefused, "the peer is busy with other texts"};
-    if (!takeText(kind, peer, answer))
-        return Error{ErrorId::PeerRefused, "the peer's text isn't of use"};
+        return Error{ErrorId::PeerRefused, "peer is busy sending other texts"};
+    if (!applyText(kind, peer, answer))
+        return Error{ErrorId::PeerRefused,
+                     "text from peer is malformed or not newer than the own one"};
     return Done{};
 }
 
-bool EntryTexts::takeText(TextKind kind, const KnownPeerPointer &peer,
-                          const entrywire::EntryExchange &answer)
+bool EntryTexts::applyText(TextKind kind, const KnownPeerPointer &peer,
+                           const entrywire::EntryExchange &answer)
 {
     if (kind == TextKind::Config)
         return answer.__isset.configText && m_config.applyFromPeer(answer.configText, peer->m_node);
@@ -173,17 +176,18 @@
     message.__isset.textAnswer = true;
     const auto kind = static_cast<TextKind>(request.text);
     const bool isKnown = kind == TextKind::Config || kind == TextKind::Upstreams;
-    if (!isKnown || held(kind) <= request.held)
+    if (!isKnown || heldVersion(kind) <= request.held)
         return reply;
     const KnownPeerPointer peer = m_table.find(request.address);
     const std::string &name = peer ? peer->m_node : request.address;
-    if (!servingOf(kind).tryBegin()) {
+    if (!sendLimiterOf(kind).tryBegin()) {
         message.textAnswer.isBusy = true;
         m_context.m_log.info("text-busy", {{LogField::Kind, nameIn(textKindNames, kind)},
                                            {LogField::Peer, name}});
         return reply;
     }
-    reply.m_held = std::shared_ptr<void>(nullptr, [this, kind](void *) { servingOf(kind).end(); });
+    reply.m_held =
+            std::shared_ptr<void>(nullptr, [this, kind](void *) { sendLimiterOf(kind).end(); });
     if (kind == TextKind::Config) {
         message.__set_configText(m_config.text());
         message.__set_configVersion(m_config.version());
@@ -200,7 +204,7 @@
 }
 
 /// Returns the version or the revision that this VM holds.
-std::int64_t EntryTexts::held(TextKind kind) const
+std::int64_t EntryTexts::heldVersion(TextKind kind) const
 {
     return kind == TextKind::Config ? m_config.version() : m_upstreams.revision();
 }
@@ -210,9 +214,9 @@
     return kind == TextKind::Config ? m_configFetch : m_upstreamFetch;
 }
 
-TextSendLimiter &EntryTexts::servingOf(TextKind kind)
+TextSendLimiter &EntryTexts::sendLimiterOf(TextKind kind)
 {
-    return kind == TextKind::Config ? m_configServing : m_upstreamServing;
+    return kind == TextKind::Config ? m_configSendLimiter : m_upstreamSendLimiter;
 }
 
 } // namespace gypsumdale
--- a/src/entry/entry_traffic.cpp
+++ b/src/entry/entry_traffic.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Usage windows kept: a report is due two windows after its end.
-constexpr WindowNumber windowsKept = 6;
+/// Number of usage windows kept: a report is due two windows after the end of its window.
+constexpr WindowNumber retainedWindows = 6;
 
-/// Returns what this VM has in flight at an upstream, for its peers.
+/// Returns this VM's load at an upstream, for its peers.
 InFlightLoad loadOf(const PooledUpstream &upstream)
 {
     InFlightLoad load = upstream.m_own;
@@ -48,7 +48,7 @@
     , m_usage(settings.m_bounds.m_usageWindow)
     , m_mover(std::make_unique<RunMover>(loop, m_client, m_pool, m_allowance, log,
                                          settings.m_dataCentre, clock))
-    , m_firstKnowledge(clock.now())
+    , m_startupKnowledge(clock.now())
     , m_randomState(std::hash<std::string>()(settings.m_node.text())
                     ^ static_cast<std::uint64_t>(clock.wallNow()))
 {}
@@ -62,24 +62,25 @@
 
 EntryTraffic::CallRegistration EntryTraffic::registerCall(EntryCall &call)
 {
-    if (m_isEndingCalls)
+    if (m_isCancellingCalls)
         call.cancelForShutdown();
-    return {m_calls, call};
+    return {m_activeCalls, call};
 }
 
 std::size_t EntryTraffic::cancelCalls()
 {
-    m_isEndingCalls = true;
-    // No call leaves the set meanwhile: its fiber ends it, when it runs again.
-    for (EntryCall *call : m_calls)
+    m_isCancellingCalls = true;
+    // The set doesn't change during the loop: each call is removed by its own fiber, which runs
+    // later.
+    for (EntryCall *call : m_activeCalls)
         call->cancelForShutdown();
-    return m_calls.size();
+    return m_activeCalls.size();
 }
 
 void EntryTraffic::setUpstreams(const std::map<UpstreamId, UpstreamRecord> &upstreams,
                                 std::int64_t revision)
 {
-    m_firstKnowledge.recordUpstreams();
+    m_startupKnowledge.recordUpstreams();
     const bool isConfirmed = m_list.m_confirmedAt != TimePoint{};
     m_pool.update(upstreams, revision,
                   isConfirmed ? std::optional(m_list.m_confirmedAt) : std::nullopt);
@@ -122,7 +123,7 @@
 
 WallMillis EntryTraffic::wallNow()
 {
-    return m_wall.read(bootNow(), m_clock.wallNow());
+    return m_wallClock.read(bootNow(), m_clock.wallNow());
 }
 
 TrafficReport EntryTraffic::report()
@@ -131,14 +132,14 @@
     for (const auto &[node, offset] : m_peerOffsets)
         offsets.push_back(offset);
     const std::size_t peers = offsets.size();
-    if (const WallMillis correction = m_wall.adjustToPeers(std::move(offsets)))
+    if (const WallMillis correction = m_wallClock.adjustToPeers(std::move(offsets)))
         m_log.warning("clock-put-right",
                       {{LogField::Millis, correction}, {LogField::Count, peers}});
     m_peerOffsets.clear();
 
     TrafficReport result;
     result.m_wall = wallNow();
-    m_usage.removeBefore(m_usage.windowAt(result.m_wall) - windowsKept);
+    m_usage.removeBefore(m_usage.windowAt(result.m_wall) - retainedWindows);
     result.m_accounts = m_quota.localUsage(now());
     result.m_usage = m_usage.own();
     result.m_endedUsage = m_usage.ended(now());
@@ -183,7 +184,7 @@
 
 std::uint64_t EntryTraffic::draw()
 {
-    // A linear congruential step is enough to spread retries and placements.
+    // A linear congruential generator is sufficient to spread retries and placements.
     m_randomState = m_randomState * 6364136223846793005ULL + 1442695040888963407ULL;
     return m_randomState;
 }
--- a/src/entry/entry_upstream_feed.cpp
+++ b/src/entry/entry_upstream_feed.cpp
@@ -23,13 +23,13 @@
 EntryUpstreamFeed::EntryUpstreamFeed(EntryContext &context)
     : m_context(context)
     , m_store(context.m_log, "store-upstreams")
-    , m_following(context.m_settings.m_bounds)
+    , m_follower(context.m_settings.m_bounds)
 {}
 
 void EntryUpstreamFeed::follow()
 {
     while (!m_context.m_isStopping) {
-        const SyncStep step = m_following.next(m_context.now());
+        const SyncStep step = m_follower.next(m_context.now());
         if (const auto *rest = std::get_if<IdleStep>(&step)) {
             sleepFiber(rest->m_time);
             continue;
@@ -37,12 +37,12 @@
         if (const auto *watch = std::get_if<WatchStep>(&step))
             watchOnce(*watch);
         else
-            readWhole();
-        sleepFiber(m_following.delayAfterRead(m_context.now()));
+            readFullList();
+        sleepFiber(m_follower.delayAfterRead(m_context.now()));
     }
 }
 
-void EntryUpstreamFeed::readWhole()
+void EntryUpstreamFeed::readFullList()
 {
     const TimePoint sentAt = m_context.now();
     const auto listing = m_context.m_store.list(platform::names::upstreamKind,
@@ -53,10 +53,10 @@
     }
     const TimePoint now = m_context.now();
     m_store.answered(now);
-    if (m_following.applyListing(platform::decodeUpstreams(valueOf(listing)), sentAt, now))
+    if (m_follower.applyListing(platform::decodeUpstreams(valueOf(listing)), sentAt, now))
         publish("store");
     else
-        publishStanding();
+        publishListState();
 }
 
 void EntryUpstreamFeed::watchOnce(const WatchStep &step)
@@ -74,22 +74,22 @@
     m_store.answered(now);
     const std::int64_t revision = valueOf(changes).m_revision;
     const WatchTimes times{sentAt, step.m_wait, now};
-    if (m_following.applyChanges(platform::decodeChanges(valueOf(changes)), revision, times))
+    if (m_follower.applyChanges(platform::decodeChanges(valueOf(changes)), revision, times))
         publish("store");
     else
-        publishStanding();
+        publishListState();
 }
 
 void EntryUpstreamFeed::noteFailed(const Error &error, ReadFailure failure)
 {
-    m_following.noteFailed(failure);
+    m_follower.noteFailed(failure);
     m_store.failed(error);
-    publishStanding();
+    publishListState();
 }
 
 void EntryUpstreamFeed::expire()
 {
-    if (m_following.expire(m_context.now()))
+    if (m_follower.expire(m_context.now()))
         publish("expiry");
 }
 
@@ -104,7 +104,7 @@
     UpstreamList list;
     list.m_revision = revision;
     list.m_upstreams = platform::decodeUpstreamText(text);
-    if (!m_following.applyFromPeer(std::move(list), age, m_context.now()))
+    if (!m_follower.applyFromPeer(std::move(list), age, m_context.now()))
         return false;
     m_context.m_log.info("upstreams-from-peer",
                          {{LogField::Peer, peer}, {LogField::Revision, revision}});
@@ -120,15 +120,15 @@
 bool EntryUpstreamFeed::receiveUpdate(const UpstreamListUpdate &news, ReportedAge age,
                                       std::string_view reader)
 {
-    const UpstreamFeed::ApplyResult taking = m_following.receiveUpdate(news, age, m_context.now());
+    const UpstreamFeed::ApplyResult taking = m_follower.receiveUpdate(news, age, m_context.now());
     if (taking == UpstreamFeed::ApplyResult::Taken)
         publish(reader);
     else
-        publishStanding();
+        publishListState();
     return taking != UpstreamFeed::ApplyResult::ChangesMissing;
 }
 
-/// Says once of each entry that it can't be read.
+/// Logs once for each entry that can't be read.
 void EntryUpstreamFeed::logUnusable(std::string_view source)
 {
     const auto &unusable = feed().unusable();
@@ -176,16 +176,18 @@
             m_context.m_traffic.setUpstreams(copy, revision);
         });
     }
-    // A confirmation that overtook its list would vouch for the one before.
-    publishStanding();
+    // Sent after the list: a confirmation that arrives before its list would apply to the previous
+    // one.
+    publishListState();
 }
 
-/// Tells the traffic thread how old the list in use is, and whether it can be had any newer.
-void EntryUpstreamFeed::publishStanding()
+/// Passes the age of the list in use to the traffic thread, and whether a newer one can be
+/// expected.
+void EntryUpstreamFeed::publishListState()
 {
     const PlacementDeadline term(m_context.m_settings.m_bounds.m_leavingApply);
-    m_context.m_trafficLoop.spawn([this, term, standing = m_following.standing()] {
-        m_context.m_traffic.setListStanding(standing, term);
+    m_context.m_trafficLoop.spawn([this, term, confirmation = m_follower.standing()] {
+        m_context.m_traffic.setListStanding(confirmation, term);
     });
 }
 
--- a/src/entry/exchange_writer.cpp
+++ b/src/entry/exchange_writer.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// A VM that started is told for this long what it can't hear any more: several exchanges.
-constexpr Duration tellsEndedFor = std::chrono::seconds(2);
-/// A list of peers goes into one message of so many, and into the first to a new peer.
+/// Time for which a newly started VM is sent the counts of ended processes: several exchanges.
+constexpr Duration endedCountsDuration = std::chrono::seconds(2);
+/// A list of peers is part of one in this many messages, and of the first one to a new peer.
 constexpr std::size_t messagesPerPeerList = 16;
-/// Peers in a list. A VM that starts without the store knows a whole fleet after a few exchanges,
-/// as each of those whom it is told tells it of others.
+/// Number of peers in a list. A VM that starts without the store knows a whole fleet after a few
+/// exchanges, as each peer that it learns of sends it others.
 constexpr std::size_t peersPerList = 16;
 
 } // namespace
@@ -33,7 +33,7 @@
     entrywire::EntryDigest &digest = message.digest;
     fillOwnState(digest);
     fillReport(m_report, digest);
-    if (peer && tellsEndedTo(*peer))
+    if (peer && sendsEndedCountsTo(*peer))
         fillEnded(m_report.m_endedUsage, processName(peer->m_node, peer->m_state.m_incarnation),
                   digest);
     const bool isNew = !peer || !peer->hasEverReported();
@@ -42,7 +42,7 @@
     return message;
 }
 
-/// Writes down what this VM is and holds, for PeerState.
+/// Fills in what this VM reports about itself, see PeerState.
 void ExchangeWriter::fillOwnState(entrywire::EntryDigest &digest) const
 {
     digest.protocol = protocolVersion;
@@ -56,31 +56,32 @@
     digest.storeIsLost = m_config.isStoreLost() || m_config.version() == 0;
     digest.dutyFence = m_dutyFence;
     digest.dutyRevision = m_dutyRevision;
-    // As of this message, not of the report: an old reading would make every VM's clock look slow,
-    // and all of them would follow each other backwards.
+    // At the time of this message, not of the report: an old reading would make every VM's clock
+    // look slow, and all clocks would follow each other backwards.
     digest.wallMillis = m_report.m_wall + wholeMillis(bootNow() - m_reportedAt);
     digest.leaving = m_context.m_isStopping;
 }
 
-/// Tells whether a VM started so lately that it can't have heard what ended processes counted.
-/// Those of the VM itself are among them: what it counted before it was stopped.
-bool ExchangeWriter::tellsEndedTo(const KnownPeer &peer) const
+/// Returns whether a VM started so recently that it can't have received the counts of ended
+/// processes. They include those of the VM's own previous process.
+bool ExchangeWriter::sendsEndedCountsTo(const KnownPeer &peer) const
 {
     const TimePoint now = m_context.now();
-    return !m_table.pace(now).isSpreadOut() && now - peer.m_processFirstReceivedAt <= tellsEndedFor;
+    return !m_table.pace(now).isSpreadOut()
+           && now - peer.m_processFirstReceivedAt <= endedCountsDuration;
 }
 
-/// Only what was heard is passed on: hearsay would keep the address of a VM that is gone going
-/// round for ever.
+/// Includes only peers from which this VM has received messages. If lists were passed on
+/// unverified, the address of a removed VM would circulate forever.
 void ExchangeWriter::fillPeers(entrywire::EntryDigest &digest)
 {
     for (const KnownPeerPointer &known :
-         wrappedSlice(m_table.recentPeers(m_context.now()), m_nextPeerTold, peersPerList)) {
+         wrappedSlice(m_table.recentPeers(m_context.now()), m_nextListedPeer, peersPerList)) {
         auto &entry = digest.peers.emplace_back();
         entry.node = known->m_node;
         entry.address = known->m_address;
     }
-    m_nextPeerTold += peersPerList;
+    m_nextListedPeer += peersPerList;
 }
 
 } // namespace gypsumdale
--- a/src/entry/fleet_size_estimate.cpp
+++ b/src/entry/fleet_size_estimate.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// Before peers were heard, the slack of the retry budget is shared with this many: more than
-/// today's sites have.
-constexpr std::size_t assumedFleet = 8;
+/// Until messages from peers are received, the slack of the retry budget is shared with at least
+/// this many VMs: more than today's sites have.
+constexpr std::size_t assumedFleetSize = 8;
 constexpr Duration fleetLearningTime = std::chrono::seconds(5);
-/// A registered VM that was never heard counts as one that fell silent: it is given up when such a
-/// one would be.
-constexpr Duration registeredKeptFor = std::chrono::seconds(20);
-/// A restarted process counts on so many VMs until it has read the registry, or for this long if
-/// the store doesn't answer: more than have been played, as each VM that takes the fleet for
-/// smaller admits more than its part.
-constexpr std::size_t unknownFleet = 100;
+/// A registered VM that never sent a message is treated like one that became silent, and is dropped
+/// after the same time.
+constexpr Duration registeredTimeout = std::chrono::seconds(20);
+/// A restarted process assumes this many VMs until it has read the registry, or for
+/// registryReadTime if the store doesn't answer. The number is higher than in any simulated fleet,
+/// as a VM that assumes a smaller fleet admits more than its share.
+constexpr std::size_t unknownFleetSize = 100;
 constexpr Duration registryReadTime = std::chrono::seconds(1);
 
 } // namespace
@@ -26,24 +26,24 @@
     return now < m_startedAt + fleetLearningTime;
 }
 
-/// Tells whether VMs of the registry were not heard yet and may still be there.
-bool FleetSizeEstimate::isMissingRegistered(std::size_t livePeers, TimePoint now) const
+/// Returns whether registered VMs have sent no message yet and may still exist.
+bool FleetSizeEstimate::hasMissingVms(std::size_t livePeers, TimePoint now) const
 {
-    return livePeers + 1 < m_registered && now < m_startedAt + registeredKeptFor;
+    return livePeers + 1 < m_registeredVms && now < m_startedAt + registeredTimeout;
 }
 
 std::size_t FleetSizeEstimate::expected(std::size_t livePeers, std::size_t seeds,
                                         TimePoint now) const
 {
-    if (isMissingRegistered(livePeers, now))
-        return std::max(m_registered, seeds);
+    if (hasMissingVms(livePeers, now))
+        return std::max(m_registeredVms, seeds);
     if (!isLearning(now))
         return 0;
-    if (m_registered > 0)
-        return std::max(m_registered, seeds);
+    if (m_registeredVms > 0)
+        return std::max(m_registeredVms, seeds);
     const bool isUnread = now < m_startedAt + registryReadTime;
     if (isUnread && !m_isFirstStart)
-        return unknownFleet;
+        return unknownFleetSize;
     return std::max(livePeers + 1, seeds);
 }
 
@@ -51,8 +51,8 @@
 {
     const std::size_t known = livePeers + 1;
     if (isLearning(now))
-        return std::max({known, assumedFleet, m_registered});
-    return isMissingRegistered(livePeers, now) ? m_registered : known;
+        return std::max({known, assumedFleetSize, m_registeredVms});
+    return hasMissingVms(livePeers, now) ? m_registeredVms : known;
 }
 
 } // namespace gypsumdale
--- a/src/entry/in_flight_guard.cpp
+++ b/src/entry/in_flight_guard.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Hands a listener on to the hold that takes the place of another.
+/// Moves a listener to the guard that replaces another.
 template <typename Listeners>
-void handOn(Listeners &listeners, const void *from, const void *to)
+void moveListener(Listeners &listeners, const void *from, const void *to)
 {
     auto listener = listeners.extract(from);
     if (listener.empty())
@@ -33,8 +33,8 @@
 {
     if (!m_upstream)
         return;
-    handOn(m_upstream->m_onReplaced, &other, this);
-    handOn(m_upstream->m_onLeaving, &other, this);
+    moveListener(m_upstream->m_onReplaced, &other, this);
+    moveListener(m_upstream->m_onLeaving, &other, this);
 }
 
 InFlightGuard::~InFlightGuard()
--- a/src/entry/in_flight_guard.hpp
+++ b/src/entry/in_flight_guard.hpp
@@ -7,7 +7,7 @@
 
 namespace gypsumdale {
 
-/// Counts a request as in flight at an upstream for as long as it lives.
+/// Counts a request as in flight at an upstream for the lifetime of the object.
 class InFlightGuard
 {
 public:
@@ -20,11 +20,11 @@
 
     PooledUpstream &upstream() { return *m_upstream; }
     const PooledUpstreamPointer &pointer() const { return m_upstream; }
-    /// Its prompt has been read: the first event is here.
+    /// Records that the prompt was read: the first event was received.
     void onPromptRead();
-    /// Asks to be told when the upstream has started again, with the time of that.
+    /// Sets a listener that is called when the upstream has restarted, with the time of the start.
     void onReplaced(std::function<void(std::int64_t startedAt)> listener);
-    /// Asks to be told when the upstream begins to leave, or is gone.
+    /// Sets a listener that is called when the upstream begins to leave or is removed.
     void onLeaving(std::function<void()> listener);
 
 private:
--- a/src/entry/peer_table.cpp
+++ b/src/entry/peer_table.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// A peer that has been silent this long has been replaced.
-constexpr Duration forgottenAfter = std::chrono::seconds(30);
+/// A peer that has been silent for this long counts as replaced.
+constexpr Duration replacementTimeout = std::chrono::seconds(30);
 
-/// How long a peer has said nothing, from when it was known on.
+/// Returns the time since the last message of a peer, or since it became known.
 Duration silenceOf(const KnownPeer &peer, TimePoint now)
 {
     return now - std::max(peer.m_lastReceivedAt, peer.m_knownSince);
@@ -67,7 +67,7 @@
             peer->m_isSilent = true;
             result.m_newlySilent.push_back({peer, silence});
         }
-        if (silence <= forgottenAfter || peer->m_isBusy) {
+        if (silence <= replacementTimeout || peer->m_isBusy) {
             ++entry;
             continue;
         }
@@ -84,7 +84,7 @@
 
 bool PeerTable::isLivePeer(const KnownPeer &peer, TimePoint now)
 {
-    return peer.hasEverReported() && now - peer.m_lastReceivedAt < forgottenAfter;
+    return peer.hasEverReported() && now - peer.m_lastReceivedAt < replacementTimeout;
 }
 
 bool PeerTable::isLivePeer(const std::string &address, TimePoint now) const
@@ -103,7 +103,7 @@
 
 ExchangePacing PeerTable::pace(TimePoint now) const
 {
-    const std::size_t expectedPeers = m_expected > 0 ? m_expected - 1 : 0;
+    const std::size_t expectedPeers = m_expectedVms > 0 ? m_expectedVms - 1 : 0;
     return ExchangePacing(std::max(livePeers(now), expectedPeers));
 }
 
@@ -138,9 +138,9 @@
     return longest;
 }
 
-/// The side with the lower address begins; the other does when it hears nothing, as links may be
-/// cut one way only.
-bool PeerTable::begins(const KnownPeer &peer, Duration silence, TimePoint now) const
+/// The side with the lower address initiates. The other side does if it receives nothing, as a link
+/// may be broken in one direction only.
+bool PeerTable::initiates(const KnownPeer &peer, Duration silence, TimePoint now) const
 {
     return m_ownAddress < peer.m_address || silenceOf(peer, now) > silence;
 }
@@ -150,7 +150,7 @@
     std::vector<KnownPeerPointer> due;
     const Duration silence = pace(now).initiationTimeout();
     for (const auto &[address, peer] : m_peers) {
-        if (!peer->m_isBusy && begins(*peer, silence, now))
+        if (!peer->m_isBusy && initiates(*peer, silence, now))
             due.push_back(peer);
     }
     return due;
@@ -161,15 +161,16 @@
     const int stretch = pace(now).stretch();
     const auto parts = static_cast<std::size_t>(stretch);
     std::vector<KnownPeerPointer> due = duePeers(now);
-    const std::size_t atOnce = (due.size() + parts - 1) / parts;
-    // Exchange times come a little late, never early: half of one tells two turns apart.
-    const Duration between =
+    const std::size_t share = (due.size() + parts - 1) / parts;
+    // Exchange times may be a little late but never early, so half an interval of tolerance
+    // separates two turns.
+    const Duration minInterval =
             ExchangePacing::exchangeInterval * stretch - ExchangePacing::exchangeInterval / 2;
-    std::erase_if(due, [now, between](const KnownPeerPointer &peer) {
-        return now - peer->m_begunAt < between;
+    std::erase_if(due, [now, minInterval](const KnownPeerPointer &peer) {
+        return now - peer->m_begunAt < minInterval;
     });
     std::ranges::stable_sort(due, {}, [](const KnownPeerPointer &peer) { return peer->m_begunAt; });
-    due.resize(std::min(due.size(), atOnce));
+    due.resize(std::min(due.size(), share));
     for (const KnownPeerPointer &peer : due)
         peer->m_begunAt = now;
     return due;
@@ -179,8 +180,8 @@
 {
     std::vector<KnownPeerPointer> some;
     for (std::size_t asked = 0; asked < count && !m_peers.empty(); ++asked) {
-        const auto entry = std::next(m_peers.begin(),
-                                     static_cast<std::ptrdiff_t>(m_nextAsked++ % m_peers.size()));
+        const auto entry = std::next(
+                m_peers.begin(), static_cast<std::ptrdiff_t>(m_nextOutOfTurn++ % m_peers.size()));
         if (!entry->second->m_isBusy)
             some.push_back(entry->second);
     }
--- a/src/entry/peer_wire.cpp
+++ b/src/entry/peer_wire.cpp
@@ -11,21 +11,22 @@
 
 namespace {
 
-/// Usage windows in a message: the one under way, and those that may not be reported yet.
-constexpr std::ptrdiff_t windowsTold = 4;
-/// Demand is told in whole numbers of this part of one a second.
+/// Number of usage windows in a message: the current one, and those whose report may still be
+/// pending.
+constexpr std::ptrdiff_t windowsPerMessage = 4;
+/// Demand is sent as an integer in units of 1/demandUnit requests per second.
 constexpr double demandUnit = 1000;
 
 void fillUsage(const std::map<WindowNumber, WindowCounts> &usage, entrywire::EntryDigest &digest)
 {
-    const auto firstTold =
-            std::prev(usage.end(), std::min<std::ptrdiff_t>(windowsTold, std::ssize(usage)));
-    for (auto entry = firstTold; entry != usage.end(); ++entry) {
+    const auto first =
+            std::prev(usage.end(), std::min<std::ptrdiff_t>(windowsPerMessage, std::ssize(usage)));
+    for (auto entry = first; entry != usage.end(); ++entry) {
         const auto &[window, counts] = *entry;
-        auto &told = digest.usage.emplace_back();
-        told.window = window;
+        auto &encoded = digest.usage.emplace_back();
+        encoded.window = window;
         for (const auto &[account, count] : counts)
-            told.counts.emplace(account.text(), count);
+            encoded.counts.emplace(account.text(), count);
     }
 }
 
@@ -33,17 +34,17 @@
 
 entrywire::UpstreamLoad encodeLoad(const UpstreamId &upstream, const InFlightLoad &load)
 {
-    entrywire::UpstreamLoad told;
-    told.upstream = upstream.text();
-    told.running = load.m_running;
-    told.pendingTokens = load.m_pendingTokens;
-    told.startedAt = load.m_startedAt;
-    return told;
+    entrywire::UpstreamLoad encoded;
+    encoded.upstream = upstream.text();
+    encoded.running = load.m_running;
+    encoded.pendingTokens = load.m_pendingTokens;
+    encoded.startedAt = load.m_startedAt;
+    return encoded;
 }
 
-InFlightLoad loadOf(const entrywire::UpstreamLoad &told)
+InFlightLoad loadOf(const entrywire::UpstreamLoad &encoded)
 {
-    return {told.running, told.pendingTokens, told.startedAt};
+    return {encoded.running, encoded.pendingTokens, encoded.startedAt};
 }
 
 void fillReport(const TrafficReport &report, entrywire::EntryDigest &digest)
@@ -57,7 +58,8 @@
     for (const auto &[upstream, load] : report.m_loads)
         digest.loads.push_back(encodeLoad(upstream, load));
     for (const auto &[service, rate] : report.m_ownReading) {
-        // Requests of plain services have no prompt to read. A peer takes what isn't told for 0.
+        // Requests of services without engines have no prompt to read. A peer takes missing entries
+        // as 0.
         if (rate.m_demand == 0 && rate.m_speed == 0)
             continue;
         auto &entry = digest.reading.emplace_back();
@@ -75,11 +77,11 @@
         if (process.m_process == receiver)
             continue;
         for (const auto &[account, count] : process.m_counts) {
-            auto &told = digest.ended.emplace_back();
-            told.process = process.m_process;
-            told.window = process.m_window;
-            told.account = account.text();
-            told.count = count;
+            auto &encoded = digest.ended.emplace_back();
+            encoded.process = process.m_process;
+            encoded.window = process.m_window;
+            encoded.account = account.text();
+            encoded.count = count;
         }
     }
 }
--- a/src/entry/placement_call_deadline.hpp
+++ b/src/entry/placement_call_deadline.hpp
@@ -9,11 +9,11 @@
 
 namespace gypsumdale {
 
-/// Whether a term moves when the list of upstreams is confirmed anew.
+/// Whether a deadline is extended when the list of upstreams is confirmed again.
 enum class DeadlineRenewal { OnConfirmation, None };
 
-/// Until when a request may reach the upstream that was chosen for it: as long as the list in use
-/// vouches for that upstream.
+/// Placement deadline of one HTTP call: the request may reach the selected upstream only as long as
+/// the list in use is valid for that upstream.
 class PlacementCallDeadline : public CallTerm
 {
 public:
@@ -25,8 +25,8 @@
 
     TimePoint until() const { return m_isRenewed ? m_traffic.renewedDeadline(m_until) : m_until; }
 
-    /// The upstream begins to leave: nothing more goes out to it, and bytes have the time that they
-    /// take on an ordinary way.
+    /// Handles that the upstream begins to leave: nothing more is sent to it, and bytes already
+    /// sent have the time of an ordinary network path to arrive.
     void noteLeaving()
     {
         m_until = std::min(until(), m_traffic.now() + PlacementDeadline::deliveryMargin);
--- a/src/entry/run_mover.cpp
+++ b/src/entry/run_mover.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// From learning that an engine leaves until its runs are moved. Notices are of 2 s and more, and
-/// up to 0.9 s old when they are learned; a move takes up to 0.2 s.
-constexpr Duration graceBeforeMove = std::chrono::milliseconds(500);
+/// Time between learning that an engine leaves and moving its runs. Notices are given 2 s or more
+/// ahead and are up to 0.9 s old when they are received; a move takes up to 0.2 s.
+constexpr Duration delayBeforeMove = std::chrono::milliseconds(500);
 
-/// Tells whether an upstream's runs have to go elsewhere. Nothing is left to move from a process
-/// that another one has replaced, and who answers at its address now doesn't know them.
+/// Returns whether an upstream's runs have to be moved. A process that was replaced by another has
+/// no runs left to move, and the one now at its address doesn't know them.
 bool isLeaving(const PooledUpstream &upstream)
 {
     return !upstream.m_isReplaced && (upstream.m_isGone || upstream.m_record.m_isDraining);
@@ -46,7 +46,7 @@
         if (isLeaving(*run->m_upstream))
             sources.insert(run->m_upstream);
     }
-    // One that came back may leave once more.
+    // An upstream that came back may leave again.
     std::erase_if(m_leaving, [&sources](const PooledUpstreamPointer &upstream) {
         return !sources.contains(upstream);
     });
@@ -54,8 +54,8 @@
         if (!m_leaving.insert(source).second)
             continue;
         m_loop.spawn([this, source] {
-            sleepFiber(graceBeforeMove);
-            // Its entry may have been unreadable for a moment only.
+            sleepFiber(delayBeforeMove);
+            // Its entry may have been unreadable only for a moment.
             if (isLeaving(*source))
                 moveRunsOf(source);
         });
@@ -79,7 +79,7 @@
     PlacementRequest placement;
     placement.m_service = source.m_service;
     placement.m_dataCentre = m_dataCentre;
-    // Little is left to read at the target: what counts is how busy it is.
+    // Little is left to read at the target, so the selection depends on how busy it is.
     placement.m_promptTokens = 1;
     placement.m_excluded = {source.m_id};
     const PooledUpstreamPointer target = m_pool.choose(placement, m_clock.now());
@@ -94,7 +94,8 @@
         answer = platform::decodeMove(source, *reply);
         status = reply->m_status;
     }
-    // Where there was no room, the stopped run goes on where its memory is, for as long as it can.
+    // If no copy was possible, the stopped run continues where its memory is, for as long as it
+    // can.
     if (!answer.m_memory.empty())
         run->m_moved = MovedRun{answer.m_isCopied ? target : run->m_upstream, answer.m_memory};
     m_log.info("run-moved", {run->m_request,
--- a/src/entry/run_mover.hpp
+++ b/src/entry/run_mover.hpp
@@ -16,10 +16,10 @@
 
 /// Moves runs that can't be resumed away from leaving engines.
 ///
-/// A long draft is lost when its engine is taken away: it may not run twice, and its caller would
-/// have to begin anew. An engine that leaves goes on for two seconds or a little more, which most
-/// runs end in; those still going after half of that are stopped, copied to another engine with
-/// their memory, and go on there within the same answer.
+/// A long draft would be lost with its engine: it may not run twice, and its caller would have to
+/// start again. A leaving engine continues for two seconds or a little more, in which most runs
+/// end. Those still running after half a second are stopped, copied to another engine with their
+/// memory, and continue there within the same answer.
 class RunMover
 {
 public:
@@ -30,8 +30,8 @@
     void add(const std::shared_ptr<StreamRun> &run) { m_runs.insert(run); }
     void remove(const std::shared_ptr<StreamRun> &run);
 
-    /// Takes note of the upstreams' states; schedules moves from those that began to leave. Linear
-    /// in the runs.
+    /// Checks the upstreams' states, and schedules the moves from those that began to leave.
+    /// Complexity: linear in the number of runs.
     void scheduleMoves();
 
 private:
--- a/src/entry/stream_run.hpp
+++ b/src/entry/stream_run.hpp
@@ -8,15 +8,16 @@
 
 namespace gypsumdale {
 
-/// Where a moved run goes on.
+/// The upstream at which a moved run continues.
 struct MovedRun
 {
     PooledUpstreamPointer m_upstream;
-    /// Names its memory, as the upstream understands it.
+    /// Identifier of the run's memory at that upstream.
     std::string m_memory;
 };
 
-/// One run of a stream at an upstream, shared between the request's fiber and one that moves it.
+/// One run of a stream at an upstream, shared between the request's fiber and the fiber that moves
+/// it.
 struct StreamRun
 {
     RequestId m_request;
--- a/src/entry/text_fetch.cpp
+++ b/src/entry/text_fetch.cpp
@@ -6,28 +6,28 @@
 
 namespace {
 
-/// Failures after which the pause grows no more.
-constexpr int mostDoublings = 4;
-/// A pause is between so many and twice so many parts of a hundred of itself.
-constexpr unsigned leastPercent = 50;
+/// Number of failures after which the backoff doesn't grow further.
+constexpr int maxDoublings = 4;
+/// Jitter: a backoff is multiplied by minPercent up to minPercent + percentSpan - 1 percent.
+constexpr unsigned minPercent = 50;
 constexpr unsigned percentSpan = 101;
-constexpr int wholePercent = 100;
+constexpr int fullPercent = 100;
 
 } // namespace
 
-std::optional<std::string> TextFetch::begin(const TextFetchState &need,
+std::optional<std::string> TextFetch::begin(const TextFetchState &state,
                                             const std::vector<TextSource> &sources, TimePoint now)
 {
     std::vector<const TextSource *> ahead;
     for (const TextSource &source : sources) {
-        if (source.m_version > need.m_ownVersion)
+        if (source.m_version > state.m_ownVersion)
             ahead.push_back(&source);
     }
     if (ahead.empty()) {
         m_behindSince.reset();
         return std::nullopt;
     }
-    if (m_isUnderWay || isLeftToStore(need, now) || now < m_pausedUntil)
+    if (m_isUnderWay || waitsForStore(state, now) || now < m_backoffUntil)
         return std::nullopt;
     if (ahead.size() > 1)
         std::erase_if(ahead,
@@ -37,37 +37,37 @@
     return m_lastAsked;
 }
 
-/// Tells whether the store is about to bring what peers tell of.
-bool TextFetch::isLeftToStore(const TextFetchState &need, TimePoint now)
+/// Returns whether the store is expected to provide the version that peers report.
+bool TextFetch::waitsForStore(const TextFetchState &state, TimePoint now)
 {
-    if (!m_behindSince || m_behindAt != need.m_ownVersion) {
+    if (!m_behindSince || m_behindVersion != state.m_ownVersion) {
         m_behindSince = now;
-        m_behindAt = need.m_ownVersion;
+        m_behindVersion = state.m_ownVersion;
     }
-    if (need.m_isStoreLost)
+    if (state.m_isStoreLost)
         return false;
-    return !need.m_storeHeadStart || now - *m_behindSince < *need.m_storeHeadStart;
+    return !state.m_storeHeadStart || now - *m_behindSince < *state.m_storeHeadStart;
 }
 
 void TextFetch::onFetched()
 {
     m_isUnderWay = false;
     m_failures = 0;
-    m_pausedUntil = TimePoint{};
+    m_backoffUntil = TimePoint{};
 }
 
 void TextFetch::onFailed(TimePoint now)
 {
     m_isUnderWay = false;
-    m_pausedUntil = now + nextPause();
+    m_backoffUntil = now + nextBackoff();
 }
 
-Duration TextFetch::nextPause()
+Duration TextFetch::nextBackoff()
 {
-    const Duration whole = std::min(initialBackoff * (1 << m_failures), maxBackoff);
-    m_failures = std::min(m_failures + 1, mostDoublings);
-    const auto percent = static_cast<int>(leastPercent + m_random(percentSpan));
-    return whole * percent / wholePercent;
+    const Duration backoff = std::min(initialBackoff * (1 << m_failures), maxBackoff);
+    m_failures = std::min(m_failures + 1, maxDoublings);
+    const auto percent = static_cast<int>(minPercent + m_random(percentSpan));
+    return backoff * percent / fullPercent;
 }
 
 } // namespace gypsumdale
--- a/src/entry/upstream_list_sync.cpp
+++ b/src/entry/upstream_list_sync.cpp
@@ -7,21 +7,26 @@
 
 namespace {
 
-/// A reader that has nothing new says so more often than its followers lose patience.
+/// Shorter than the time after which followers read for themselves, so that a reader without
+/// changes still sends updates in time.
 constexpr Duration readerWatchWait = std::chrono::milliseconds(500);
-/// Of a follower, which reads when its list has used up its patience, and of any VM whose list has.
+/// Wait of a follower's watch, which it sends only when its list has reached half of the age limit,
+/// and of any VM's watch from then on.
 constexpr Duration urgentWatchWait = std::chrono::milliseconds(50);
-/// Pauses, or watches of a VM that reads alone, in the time in which a leaving upstream must be
-/// left alone: a pause, a watch that is lost and the next one fit in with room for the placement.
-constexpr int pausesPerBound = 5;
-/// A reader's pause is shorter: its word goes a step further.
-constexpr int readerPausesPerBound = 6;
-/// A list may be so old, as a part of the bound, before it is read at once; the rest is for that.
-constexpr int patiencesPerBound = 2;
-constexpr Duration toldTick = std::chrono::milliseconds(100);
-constexpr Duration failurePause = std::chrono::milliseconds(150);
-/// Between the tries of a follower whom the store turns away, but who is told: each is paid for.
-constexpr Duration failurePauseIfTold = std::chrono::milliseconds(1000);
+/// Divisor for the delay after a read, and for the watch of a VM that reads alone: part of the time
+/// within which a leaving upstream must receive no more requests. A delay, a lost watch and the
+/// next watch fit into it, with time left for the placement.
+constexpr int delayDivisor = 5;
+/// Shorter for a reader, as its updates still have to reach the followers.
+constexpr int readerDelayDivisor = 6;
+/// Divisor for the age, as part of the limit, at which a list is read at once; the remaining part
+/// is for that read.
+constexpr int readAgeDivisor = 2;
+constexpr Duration idleInterval = std::chrono::milliseconds(100);
+constexpr Duration failureDelay = std::chrono::milliseconds(150);
+/// Delay between the reads of a follower that the store refuses but that receives updates: each
+/// read is charged.
+constexpr Duration failureDelayWithUpdates = std::chrono::milliseconds(1000);
 
 } // namespace
 
@@ -32,70 +37,70 @@
 
 SyncStep UpstreamListSync::next(TimePoint now) const
 {
-    if (isTold(now) && !m_isStoreLost)
-        return IdleStep{toldTick};
-    if (mustList())
+    if (hasRecentUpdate(now) && !m_isStoreLost)
+        return IdleStep{idleInterval};
+    if (mustReadFullList())
         return ListStep{};
     return WatchStep{m_feed.revision(), watchWait(now)};
 }
 
-bool UpstreamListSync::mustList() const
+bool UpstreamListSync::mustReadFullList() const
 {
     const bool isHistoryGone = m_refusedRevision && m_feed.revision() <= *m_refusedRevision;
     return !m_feed.isKnown() || isHistoryGone;
 }
 
-Duration UpstreamListSync::patience() const
+Duration UpstreamListSync::readAgeLimit() const
 {
-    return m_bounds.m_leavingApply / patiencesPerBound;
+    return m_bounds.m_leavingApply / readAgeDivisor;
 }
 
-/// Returns how old a list may be that a follower doesn't read for itself; nothing for others, who
-/// read always.
-Duration UpstreamListSync::toldLimit() const
+/// Returns the age up to which a follower with a known list doesn't read for itself; zero for all
+/// others, which always read.
+Duration UpstreamListSync::updateAgeLimit() const
 {
     if (m_role != StoreRole::Follower || !m_feed.isKnown())
         return Duration::zero();
-    return patience();
+    return readAgeLimit();
 }
 
-/// Tells whether a reader has confirmed the list lately enough for this VM not to read it.
-bool UpstreamListSync::isTold(TimePoint now) const
+/// Returns whether a reader has confirmed the list so recently that this VM need not read it.
+bool UpstreamListSync::hasRecentUpdate(TimePoint now) const
 {
-    return age(now) < toldLimit();
+    return age(now) < updateAgeLimit();
 }
 
 Duration UpstreamListSync::delayAfterRead(TimePoint now) const
 {
     if (m_isHistoryGone)
         return Duration::zero();
-    // Not beyond the moment at which the list counts as untold: a failed reading just before it
-    // would add the whole pause to the half of the bound that was waited.
+    // The delay ends at the time at which the list becomes too old: after a failed read just before
+    // that, a full delay would add to the half of the limit that has already passed.
     if (m_isStoreLost)
-        return std::clamp(toldLimit() - age(now), failurePause, failurePauseIfTold);
+        return std::clamp(updateAgeLimit() - age(now), failureDelay, failureDelayWithUpdates);
     if (m_role != StoreRole::Reader)
-        return m_bounds.m_leavingApply / pausesPerBound;
-    // A watch that waited has let changes collect already.
-    const Duration pause = m_bounds.m_leavingApply / readerPausesPerBound;
+        return m_bounds.m_leavingApply / delayDivisor;
+    // A watch that waited has already let changes collect.
+    const Duration pause = m_bounds.m_leavingApply / readerDelayDivisor;
     return std::max(m_readAt + pause - now, Duration::zero());
 }
 
-/// Returns how long a watch may wait: by role, but not beyond the moment at which the list has used
-/// up its patience, as the answer may be lost.
+/// Returns how long a watch may wait: by role, but not beyond the time at which the list reaches
+/// half of the age limit, as the answer may be lost.
 Duration UpstreamListSync::watchWait(TimePoint now) const
 {
     if (m_role == StoreRole::Follower)
         return urgentWatchWait;
-    const Duration wait = m_role == StoreRole::Reader ? readerWatchWait
-                                                      : m_bounds.m_leavingApply / pausesPerBound;
-    return std::clamp(patience() - age(now), urgentWatchWait, wait);
+    const Duration wait =
+            m_role == StoreRole::Reader ? readerWatchWait : m_bounds.m_leavingApply / delayDivisor;
+    return std::clamp(readAgeLimit() - age(now), urgentWatchWait, wait);
 }
 
 bool UpstreamListSync::applyListing(UpstreamList list, TimePoint sentAt, TimePoint now)
 {
-    noteAnswered(sentAt);
-    m_confirmation.take(sentAt);
-    if (isOvertaken(list.m_revision))
+    recordAnswered(sentAt);
+    m_confirmation.record(sentAt);
+    if (isSuperseded(list.m_revision))
         return false;
     m_refusedRevision.reset();
     m_feed.replaceAll(std::move(list), now);
@@ -105,15 +110,15 @@
 bool UpstreamListSync::applyChanges(const std::vector<UpstreamChange> &changes,
                                     std::int64_t revision, const WatchTimes &times)
 {
-    noteAnswered(times.m_sentAt);
-    m_confirmation.take(times, changes.empty() ? WatchResult::Nothing : WatchResult::Changes);
-    if (isOvertaken(revision))
+    recordAnswered(times.m_sentAt);
+    m_confirmation.record(times, changes.empty() ? WatchResult::Nothing : WatchResult::Changes);
+    if (isSuperseded(revision))
         return false;
     m_feed.apply(changes, revision, times.m_answeredAt);
     return true;
 }
 
-void UpstreamListSync::noteAnswered(TimePoint sentAt)
+void UpstreamListSync::recordAnswered(TimePoint sentAt)
 {
     m_readAt = sentAt;
     m_isStoreLost = false;
@@ -134,7 +139,7 @@
     if (!isStale(now) || list.m_revision <= m_feed.revision())
         return false;
     m_feed.replaceAll(std::move(list), now - age.m_ageWhenSent);
-    m_confirmation.take(age);
+    m_confirmation.record(age);
     return true;
 }
 
@@ -142,9 +147,9 @@
                                                           const ReportedAge &age, TimePoint now)
 {
     const UpstreamFeed::ApplyResult taking = m_feed.take(news, now - age.m_ageWhenSent, now);
-    // An own list that is later holds all that the reader's was confirmed to hold.
+    // An own list that is later contains everything that was confirmed for the reader's list.
     if (taking != UpstreamFeed::ApplyResult::ChangesMissing)
-        m_confirmation.take(age);
+        m_confirmation.record(age);
     return taking;
 }
 
