--- a/tests/src/fuzz-entry-request-way-troubles.cpp
+++ b/tests/src/fuzz-entry-request-way-troubles.cpp
@@ -8,13 +8,13 @@
 
 using namespace gypsumdale::testing;
 
-// Guards against late requests from VMs that go by peers' lists, or whose answers are lost.
+// Guards against late requests from VMs that use the lists of peers, or whose answers are lost.
 TEST_CASE("a leaving upstream gets no late request in all troubles at once")
 {
     checkWay(allNewsTroubles());
 }
 
-// Guards against a link's queue that grows between the connection and the first byte.
+// Guards against a link whose queue grows between the connection and the first byte.
 TEST_CASE("a leaving upstream gets no late request from a link that fills meanwhile")
 {
     constexpr std::array<std::uint64_t, 3> seeds = {125, 167229452944, 536196023723};
@@ -24,7 +24,8 @@
     }
 }
 
-// Guards against a path that heals just before the end of a term, behind a link that fills.
+// Guards against a network path that recovers just before a placement deadline, behind a link whose
+// queue fills up.
 TEST_CASE("a leaving upstream gets no late request from a path that heals late")
 {
     for (const auto &[seed, isQuiet] :
@@ -36,7 +37,7 @@
     }
 }
 
-// Guards against entries that are kept for their return though their upstream has left.
+// Guards against entries that are retained although their upstream has left.
 TEST_CASE("a leaving upstream gets no late request by an entry that is kept for its return")
 {
     constexpr std::array<std::uint64_t, 6> seeds = {1101590840816, 200086, 200165,
@@ -47,7 +48,7 @@
     }
 }
 
-// Guards against a link whose queue jumps right after the connection.
+// Guards against a link whose queue grows suddenly right after the connection.
 TEST_CASE("a leaving upstream gets no late request from a queue that jumps after the connection")
 {
     constexpr std::array<std::uint64_t, 3> seeds = {300095, 301446, 301580};
--- a/tests/src/fuzz-entry-restart.cpp
+++ b/tests/src/fuzz-entry-restart.cpp
@@ -22,7 +22,8 @@
 constexpr double slowLink = 1'250'000;
 /// 200 Mbit/s.
 constexpr double fastLink = 25'000'000;
-/// Pause between a VM's tries at a store that turns it away, and how long it takes to be told so.
+/// Delay between a VM's attempts at a store that refuses it, including the time until the refusal
+/// arrives.
 constexpr Duration storeRetry = 150ms;
 /// Silence after which a transfer is given up, and after which the next source is asked.
 constexpr Duration silence = 600ms;
@@ -32,7 +33,7 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-/// One VM and what its two directions carry.
+/// A VM and the bandwidth of its link in both directions.
 struct Vm
 {
     explicit Vm(std::uint64_t seed)
@@ -46,17 +47,17 @@
     double m_bandwidth = slowLink;
     bool m_isTurnedAway = false;
     bool m_isStoreLost = false;
-    /// Answers requests for texts, but no byte of them comes.
+    /// Accepts requests for texts, but sends no byte of them.
     bool m_isMute = false;
     bool m_hasText = false;
     Duration m_hasTextAt{};
     Duration m_storeTriesAt{};
     double m_received = 0;
-    /// Peers that said that they hold the text.
+    /// Peers that reported that they hold the text.
     std::map<std::size_t, TextSource> m_heard;
 };
 
-/// A text on its way to a VM, from the store or from a peer.
+/// A transfer of a text to a VM, from the store or from a peer.
 struct Transfer
 {
     std::size_t m_to = 0;
@@ -65,8 +66,8 @@
     Duration m_silentFor{};
 };
 
-/// A fleet whose VMs all start at once without a text. Each link is a fluid queue: whatever passes
-/// it shares it evenly.
+/// A fleet whose VMs all start at the same time without a text. Each link is modelled as a fluid
+/// queue: all transfers on it share its bandwidth evenly.
 class Fleet
 {
 public:
@@ -100,7 +101,7 @@
 private:
     Duration elapsed() const { return m_clock.now() - m_start; }
 
-    /// Each VM hears a part of the others, as many each time.
+    /// Each VM receives the digests of a part of the others, the same number each time.
     void exchange()
     {
         const auto stretch = static_cast<std::size_t>(m_pace.stretch());
@@ -215,10 +216,10 @@
     std::size_t m_turns = 0;
 };
 
-/// When the last VM starts and reads.
+/// Time at which the last VM starts and reads.
 constexpr Duration lastStart = 1s;
 
-/// How long a text takes on the slowest link if so many pass it at once.
+/// Returns how long a text takes on the slowest link if so many transfers share it.
 Duration transferTime(int atOnce)
 {
     return std::chrono::duration_cast<Duration>(
@@ -250,7 +251,7 @@
     });
 }
 
-// Guards against transfers that fill all links and none of which ends.
+// Guards against transfers that fill all links so that none of them completes.
 TEST_CASE("a fleet that restarts at once while the store turns a part of it away")
 {
     rc::prop("each VM gets the text from one peer, and takes in little more than that", [] {
@@ -258,8 +259,9 @@
         const std::size_t turnedAway = *rc::gen::inRange<std::size_t>(1, fleet.vms().size() / 2);
         for (std::size_t vm = 0; vm < turnedAway; ++vm)
             fleet.vms()[vm].m_isTurnedAway = true;
-        // Those whom the store serves have it; a digest tells so; the peer serves as many as it
-        // may; and who was told to ask another a few times has paused.
+        // VMs that the store serves have the text. Added are the time until a digest reports that,
+        // the time in which the peer serves as many as its limit allows, and the backoff of a VM
+        // that was redirected a few times.
         const Duration heard = ExchangePacing::exchangeInterval * 6;
         const Duration turned = 3 * TextFetch::maxBackoff;
         checkAll(fleet,
--- a/tests/src/fuzz-entry-upstream-news.cpp
+++ b/tests/src/fuzz-entry-upstream-news.cpp
@@ -20,7 +20,7 @@
     return world.play(60s);
 }
 
-/// A play in which a VM was late.
+/// A recorded simulation run in which a VM was late.
 struct KeptPlay
 {
     NewsFleet m_fleet;
@@ -52,8 +52,8 @@
 
 } // namespace
 
-// Guards against requests to an upstream that left, placed by a VM whose list counts as fresh
-// though what confirmed it was long under way.
+// Guards against requests to an upstream that has left, from a VM whose list counts as fresh
+// although the message that confirmed it was delayed for a long time.
 TEST_CASE("a leaving upstream is left alone in time though readers are slow")
 {
     NewsTroubles troubles;
@@ -63,7 +63,8 @@
     checkFleets(troubles);
 }
 
-// Guards against patiences on the way of an upstream's leaving that add up to more than the bound.
+// Guards against timeouts between an upstream's notice and the VMs that add up to more than the
+// limit.
 TEST_CASE("a leaving upstream is left alone in time in all troubles at once")
 {
     NewsTroubles troubles = allNewsTroubles();
@@ -71,8 +72,8 @@
     checkFleets(troubles);
 }
 
-// Guards against the rarer of such sums: a lost listing after a refused watch, a reader that waits
-// with a list that is nearly too old.
+// Guards against rarer combinations of such timeouts: a full read that is lost after a refused
+// watch, or a reader that waits with a list that is nearly too old.
 TEST_CASE("a leaving upstream is left alone in time in plays that once were late")
 {
     for (const KeptPlay &kept : keptPlays) {
@@ -83,7 +84,8 @@
     }
 }
 
-// Guards against readers that never learn of a leaving upstream once the store dropped its history.
+// Guards against readers that never learn of a leaving upstream after the store has dropped its
+// history.
 TEST_CASE("a leaving upstream is left alone in time though the store drops its history")
 {
     NewsTroubles troubles;
--- a/tests/src/fuzz-store-news.cpp
+++ b/tests/src/fuzz-store-news.cpp
@@ -18,13 +18,14 @@
 constexpr std::size_t readerCount = 2;
 constexpr std::uint32_t upstreamCount = 6;
 constexpr Duration heartbeat = 1200ms;
-/// A list that nobody confirmed for so long may lack entries of upstreams that live.
+/// A list without a confirmation for this long may be missing entries of upstreams that are
+/// running.
 constexpr Duration longUnconfirmed = 2 * heartbeat;
-/// For so long after that it may hold what is gone.
+/// For this long after that, the list may hold entries that were removed.
 constexpr Duration keptFor = 2s;
 
-/// A list of upstreams with all its changes, as the store has them. An upstream's port stands for
-/// what it last wrote.
+/// A list of upstreams with all its changes, as stored. The port of an upstream represents what it
+/// wrote last.
 class Store
 {
 public:
@@ -51,7 +52,7 @@
         return m_states.at(static_cast<std::size_t>(revision - 1));
     }
 
-    /// Lets a list catch up with some changes, or read the whole list if it has none.
+    /// Applies some of the missing changes to a list, or the full list if it has none.
     void read(UpstreamFeed &feed, std::size_t most, TimePoint now) const
     {
         if (!feed.isKnown()) {
@@ -71,7 +72,7 @@
     std::vector<std::map<UpstreamId, UpstreamRecord>> m_states{{}};
 };
 
-/// One that reads the store, and what it keeps of its follower.
+/// A VM that reads the store, with its state about the follower.
 struct Reader
 {
     UpstreamFeed m_feed{heartbeat};
@@ -140,7 +141,7 @@
         check();
     }
 
-    /// Everything arrives again.
+    /// All messages arrive again.
     void heal()
     {
         m_messages.clear();
@@ -173,7 +174,8 @@
                 {index, m_lives[index], reader.m_follower.updateFor(reader.m_feed, m_now)});
     }
 
-    /// Delivers a message of those under way; it stays under way as if doubled when unanswered.
+    /// Delivers one of the messages under way. Without an answer it stays under way, like a
+    /// duplicate.
     void deliver(std::size_t which, bool isAnswered)
     {
         if (m_messages.empty())
@@ -205,7 +207,8 @@
         }
     }
 
-    /// Readings that fail are no reason to hold what the store removed; that none was confirmed is.
+    /// Failed reads are no reason to retain entries that the store removed; a missing confirmation
+    /// is.
     void check()
     {
         const bool isExact = !m_hasOutages || m_now > m_mayKeepUntil;
@@ -213,7 +216,8 @@
             RC_ASSERT(holds(m_store.at(m_follower.revision()), isExact));
     }
 
-    /// Tells whether the follower has this list; after outages it may keep more for a while.
+    /// Returns whether the follower has this list. After outages it may hold more entries for a
+    /// while.
     bool holds(const std::map<UpstreamId, UpstreamRecord> &truth, bool isExact) const
     {
         const auto &held = m_follower.upstreams();
@@ -237,7 +241,8 @@
 
 void checkWorlds(bool hasOutages)
 {
-    // A follower that restarts and is told by the reader that lags behind the other is rare.
+    // Many rounds, as a follower that restarts and gets its update from the reader that is behind
+    // the other is rare.
     constexpr std::uint32_t rounds = 6;
     constexpr int lengthening = 10;
     for (std::uint32_t round = 0; round < rounds; ++round) {
@@ -255,17 +260,18 @@
 
 } // namespace
 
-// A leaving engine's notice reaches an entry VM through one of two readers, while messages are
-// lost, doubled and overtaken, readers and follower restart and each has read another part of the
-// store's changes. An entry that came back, or one that never went, would be an engine that is sent
-// requests after it has left.
+// An engine's leaving notice reaches an entry VM through one of two readers while messages are
+// lost, duplicated and reordered, readers and follower restart, and each has read a different part
+// of the store's changes. Guards against entries that reappear or were never removed: their engine
+// would receive requests after it has left.
 TEST_CASE("a follower's list is the store's at its revision")
 {
     checkWorlds(false);
 }
 
-// Readings fail now and then while the store serves on and engines leave. What a reader or the
-// follower kept for the return of a store that was never away got requests after its time.
+// Reads fail from time to time while the store stays available and engines leave. Guards against
+// entries that a reader or the follower retained although the store was never unavailable: their
+// engines received requests after they had left.
 TEST_CASE("a follower's list is the store's in the end after outages of the store")
 {
     checkWorlds(true);
--- a/tests/src/unit-config-news.cpp
+++ b/tests/src/unit-config-news.cpp
@@ -52,7 +52,7 @@
     CHECK(news.take(1, 0, true, start + 10s));
 }
 
-// Every VM read every version of a quick succession from the store.
+// Guards against reads of every version of a quick succession from the store by every VM.
 TEST_CASE("of versions in quick succession each VM gets the newest from its reader")
 {
     ConfigSourceSelector news;
--- a/tests/src/unit-entry-message-age.cpp
+++ b/tests/src/unit-entry-message-age.cpp
@@ -9,7 +9,7 @@
 {
     constexpr WallMillis process = 17;
     const TimePoint asked{1h};
-    // The other VM's clock is another one.
+    // The other VM has a clock of its own.
     const TimePoint heardThere{20h};
     LastPeerTimestamp heard;
     REQUIRE_FALSE(heard.echo(heardThere));
@@ -34,8 +34,8 @@
     }
 }
 
-// Guards against totals of a peer that are counted twice, as an earlier message that was long under
-// way looks like the first of a restarted process.
+// Guards against a peer's totals that are counted twice: an earlier message that was delayed for a
+// long time looks like the first one of a restarted process.
 TEST_CASE("a message that a later one has overtaken")
 {
     SupersededFilter newest;
--- a/tests/src/unit-entry-metrics-page.cpp
+++ b/tests/src/unit-entry-metrics-page.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr std::uint64_t manyRequests = 1'234'567;
-/// Each duration is recorded this often for each pair, so that counts have seven digits.
+/// Number of recordings of each duration for each pair, so that counts have seven digits.
 constexpr int manyTimes = 400;
 constexpr std::uint64_t manyBytes = 123'456'789'012;
 
-/// What an entry process counts of requests.
+/// Request counters of an entry process.
 constexpr std::array entryCounters = {
         RequestCounter::Received, RequestCounter::Done,           RequestCounter::Refused,
         RequestCounter::Failed,   RequestCounter::OutcomeUnknown, RequestCounter::Cancelled,
@@ -29,7 +29,7 @@
         Latency::Total,
 };
 
-/// Names as long as on the played sites.
+/// Returns a name as long as those in the simulated sites.
 MemberId account(std::size_t number)
 {
     return MemberId(fmt::format("rade{:04}", number));
@@ -52,7 +52,7 @@
     }
 }
 
-/// Uses every account with every route, and one more of both than have series of their own.
+/// Uses every account with every route, and one more of each than have metric series of their own.
 void useAll(Metrics &metrics)
 {
     for (std::size_t member = 0; member <= entryMetricsLimits.m_members; ++member) {
@@ -74,7 +74,8 @@
 
 TEST_CASE("the page of metrics of a busy entry process")
 {
-    // Guards against a page that fills a slow VM's link, before callers' answers, when it is read.
+    // Guards against a metrics page that, when it is read, fills the link of a slow VM and delays
+    // the answers to callers.
     Metrics metrics(entryMetricsLimits);
     useAll(metrics);
     const std::string page = metrics.expose();
--- a/tests/src/unit-entry-news-pace.cpp
+++ b/tests/src/unit-entry-news-pace.cpp
@@ -27,7 +27,7 @@
     }
 }
 
-// Guards against whole lists that fill the link of a follower which can't confirm them.
+// Guards against full lists that fill the link of a follower which can't acknowledge them.
 TEST_CASE("a follower without receipts is told the whole list after pauses that grow")
 {
     const TimePoint start{1h};
--- a/tests/src/unit-entry-peers.cpp
+++ b/tests/src/unit-entry-peers.cpp
@@ -25,7 +25,7 @@
 const std::string lower = "10.0.0.1:7000";
 const std::string higher = "10.0.0.9:7000";
 
-/// What a peer's process of that incarnation says of itself.
+/// Returns the report of a peer's process with that incarnation about itself.
 PeerState processState(std::int64_t incarnation)
 {
     PeerState state;
@@ -33,7 +33,7 @@
     return state;
 }
 
-/// A table on a paused clock.
+/// A peer table on a paused clock.
 class Table
 {
 public:
@@ -47,7 +47,7 @@
         m_table.learn(address, address, false, now());
         PeerTable::recordReceived(*m_table.find(address), state, now());
     }
-    /// Hears so many peers besides.
+    /// Receives messages from this many additional peers.
     void hearMany(int count)
     {
         for (int peer = 0; peer < count; ++peer)
@@ -130,8 +130,9 @@
         CHECK(fresh.expected(3, 7, clock.now()) == 0);
         CHECK(fresh.size(3, clock.now()) == 4);
     }
-    // Guards against quotas and budgets of a tenth of the fleet, each taken whole, where a joint
-    // restart fills the links for longer than VMs take to hear each other.
+    // Guards against VMs that assume a tenth of the real fleet and each use quotas and budgets
+    // accordingly: when all VMs restart at once, the links are full for longer than the VMs take to
+    // receive messages from each other.
     SECTION("is that of the registry while fewer are heard, until silent ones are given up")
     {
         restarted.setRegistered(65);
@@ -144,9 +145,9 @@
     }
 }
 
-// All VMs come back from a power cut, and with them the callers: a request is read 2 ms after its
-// VM has started, the store's answers come 8 to 25 ms after that. It got a 503, came back half a
-// second later and was late.
+// All VMs return after a power failure, and with them the callers: a request is read 2 ms after the
+// start of its VM, while the store's answers arrive 8 to 25 ms after it. Guards against a 503 for
+// such a request, which came back half a second later and was late.
 TEST_CASE("a request that comes before a VM knows anything")
 {
     Clock clock;
@@ -215,8 +216,8 @@
     }
 }
 
-// Guards against a restarted fleet whose VMs take it for a small one, and exchange with all at
-// once.
+// Guards against VMs that assume a small fleet after a joint restart, and exchange with all others
+// at once.
 TEST_CASE("the pace of a fleet of which few were heard yet")
 {
     Table vm;
@@ -270,7 +271,8 @@
     }
 }
 
-// A VM that began with half of the fleet at one moment kept its callers waiting meanwhile.
+// Guards against a VM that initiates exchanges with half of the fleet at once and delays the
+// requests of its callers meanwhile.
 TEST_CASE("exchanges of a large fleet are spread over the time between two")
 {
     constexpr int peers = 194;
@@ -316,9 +318,10 @@
     CHECK(vm.m_table.selectOutOfTurn(5).size() == 4);
 }
 
-// Each usage window waits for the counts of every VM. One that was stopped by plan was waited for
-// half a minute, so that six windows came late, and were lost when all VMs were then killed; and in
-// a large fleet a VM that had been silent for eight seconds still counted as heard.
+// Each usage window waits for the counts of every VM. Guards against two faults: a VM that had shut
+// down regularly was waited for for half a minute, so that six windows were late, and were lost
+// when all VMs were killed after that; and in a large fleet a VM that had been silent for eight
+// seconds still counted as responding.
 TEST_CASE("the longest silence in the fleet")
 {
     Table vm;
@@ -410,9 +413,9 @@
     }
 }
 
-/// A VM is lost without a word, and its entry stays in the registry. It is removed when it was
-/// silent for two minutes, but one that was only cut off meanwhile has them again from when it was
-/// heard.
+/// A VM is lost without a final report, and its entry stays in the registry. The entry is removed
+/// after two minutes of silence. For a VM that was only partitioned, the two minutes start again
+/// with its next message.
 TEST_CASE("a VM of the registry that is gone")
 {
     Clock clock;
@@ -513,8 +516,8 @@
     }
 }
 
-// All pairs of a fleet exchange digests: their size is most of what a large one sends between its
-// data centres.
+// All pairs of a fleet exchange digests, whose size is most of the traffic of a large fleet between
+// its data centres.
 TEST_CASE("a digest of a VM in a large fleet is small")
 {
     TrafficReport report;
--- a/tests/src/unit-entry-text-fetch.cpp
+++ b/tests/src/unit-entry-text-fetch.cpp
@@ -20,7 +20,7 @@
 
     TimePoint now() const { return m_clock.now(); }
     std::optional<std::string> begin() { return m_fetch.begin(m_need, m_sources, now()); }
-    /// Returns after how long, in steps of 10 ms, somebody is asked; a minute if nobody is.
+    /// Returns the time, in steps of 10 ms, until a peer is asked; a minute if none is.
     Duration untilBegin()
     {
         for (Duration waited{}; waited < 1min; waited += 10ms) {
--- a/tests/src/unit-entry-upstream-client.cpp
+++ b/tests/src/unit-entry-upstream-client.cpp
@@ -38,7 +38,7 @@
 
 TEST_CASE("calls to upstreams are counted by what became of them")
 {
-    // Guards against links and upstreams that fail without a figure that tells which of the two.
+    // Guards against failures of links and of upstreams that no counter tells apart.
     FiberLoop loop("client");
     loop.start();
     Metrics metrics;
@@ -63,7 +63,7 @@
     SECTION("a host where nothing listens")
     {
         server.reset();
-        // The listener closes on the loop, some time after.
+        // The loop closes the listener with some delay.
         while (isAnswered(port)) {
         }
         const std::uint64_t before = metrics.value(Counter::UpstreamBytesSent);
@@ -75,7 +75,7 @@
     }
     SECTION("a host that takes no connection in time")
     {
-        // One connection fills a queue of this length, and the kernel drops what comes after it.
+        // One connection fills a queue of this length, and the kernel drops further ones.
         constexpr int shortestQueue = 0;
         boost::asio::io_context context;
         const tcp::endpoint any(boost::asio::ip::make_address("127.0.0.1"), 0);
--- a/tests/src/unit-entry-upstream-following.cpp
+++ b/tests/src/unit-entry-upstream-following.cpp
@@ -85,8 +85,8 @@
     }
 }
 
-// Guards against readers that never learn of a leaving upstream: each brings the other back to
-// where the store has dropped the history.
+// Guards against readers that never learn of a leaving upstream because each resets the other to a
+// revision whose history the store has dropped.
 TEST_CASE("the list is read anew where the store has dropped the history, whatever peers tell")
 {
     Vm vm(GENERATE(StoreRole::Reader, StoreRole::Follower, StoreRole::Alone));
@@ -114,7 +114,8 @@
     }
 }
 
-// Guards against patiences that add up: a VM whose list is old asks briefly, in any role.
+// Guards against timeouts that add up: a VM with an old list sends short watches, whatever its
+// role.
 TEST_CASE("a list that has used up half of the bound is read at once")
 {
     const StoreRole role = GENERATE(StoreRole::Reader, StoreRole::Follower, StoreRole::Alone);
@@ -143,7 +144,8 @@
     }
 }
 
-// Guards against lists that count as fresh since their news lay unread or were long under way.
+// Guards against lists that count as fresh although the update that confirmed them was delayed or
+// waited to be read.
 TEST_CASE("a list is as old as what surely confirmed it")
 {
     Vm vm(StoreRole::Follower);
@@ -196,7 +198,8 @@
 
 TEST_CASE("a list can't be had any newer only where a question was left unanswered")
 {
-    // A VM cut off from the store must serve; one that has a newer list to come must not by an old.
+    // A VM that is partitioned from the store has to serve requests with an old list; a VM that can
+    // get a newer list must not.
     Vm vm(StoreRole::Alone);
     vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now);
     CHECK(vm.m_following.standing().m_confirmedAt == vm.m_now);
