--- a/include/gypsumdale/entry/entry_config_feed.hpp
+++ b/include/gypsumdale/entry/entry_config_feed.hpp
@@ -29,7 +29,7 @@
 
     /// Called after each failed read of the store, on the control thread.
     using StoreReadFailed = std::function<void()>;
-    void onStoreReadFailed(StoreReadFailed failed) { m_storeReadFailed = std::move(failed); }
+    void onStoreReadFailed(StoreReadFailed callback) { m_storeReadFailed = std::move(callback); }
 
     /// Sets whether a peer is about to send the full text. The store isn't asked for the full text
     /// meanwhile.
--- a/include/gypsumdale/entry/entry_peers.hpp
+++ b/include/gypsumdale/entry/entry_peers.hpp
@@ -79,7 +79,7 @@
     void setDuty(std::int64_t fence, std::int64_t revision) { m_writer.setDuty(fence, revision); }
     bool holdsDuty() const { return m_writer.holdsDuty(); }
     using DutyReported = std::function<void(std::int64_t fence, std::int64_t revision)>;
-    void onDutyReported(DutyReported heard) { m_dutyReported = std::move(heard); }
+    void onDutyReported(DutyReported callback) { m_dutyReported = std::move(callback); }
 
     /// Sends this VM's load at an upstream to all responding peers. A peer that doesn't answer
     /// isn't asked again, as the next exchange brings the load.
@@ -89,7 +89,10 @@
     /// Returns what this VM still needs.
     using StoreUpdateReceived = std::function<entrywire::StoreNewsTaken(
             const entrywire::StoreNews &, std::optional<TimePoint> sentAfter)>;
-    void onStoreUpdate(StoreUpdateReceived heard) { m_storeUpdateReceived = std::move(heard); }
+    void onStoreUpdate(StoreUpdateReceived callback)
+    {
+        m_storeUpdateReceived = std::move(callback);
+    }
     /// Stamps a message so that its receiver can compute its age, sends it to a peer, and waits for
     /// the answer. Errors: those of the channel, and PeerMalformed, which is logged.
     Result<entrywire::EntryExchange> ask(const KnownPeerPointer &peer,
--- a/include/gypsumdale/entry/registry_expiry.hpp
+++ b/include/gypsumdale/entry/registry_expiry.hpp
@@ -19,10 +19,10 @@
 
     /// Records an entry that was read, and whether its VM is a live peer. Returns whether the entry
     /// is to be removed. Complexity: logarithmic in the number of entries.
-    bool recordEntry(const NodeId &node, bool isHeard, TimePoint now)
+    bool recordEntry(const NodeId &node, bool isLive, TimePoint now)
     {
         const auto silentSince = m_silentSince.try_emplace(node, now).first;
-        if (isHeard)
+        if (isLive)
             silentSince->second = now;
         return now - silentSince->second >= removalTimeout;
     }
--- a/src/entry/entry_call.cpp
+++ b/src/entry/entry_call.cpp
@@ -169,23 +169,23 @@
         m_triedUpstreams.insert(upstream->m_record.m_id);
         logPlaced(*upstream, *until);
         const bool isAlone = readsAlone(*upstream);
-        InFlightGuard hold(upstream, m_caller.m_promptTokens);
+        InFlightGuard guard(upstream, m_caller.m_promptTokens);
         const TimePoint sentAt = m_traffic.now();
         m_traffic.recordPlacement(*upstream, ownTokens(), request.m_isAnnounced);
         m_traffic.forecaster().recordPlacement(m_service, priority(), m_caller.m_promptTokens,
                                                ownTokens(), sentAt);
         CallResult<HttpExchange> opened =
-                send(hold, std::make_shared<PlacementCallDeadline>(
-                                   m_traffic, *until, DeadlineRenewal::OnConfirmation));
+                send(guard, std::make_shared<PlacementCallDeadline>(
+                                    m_traffic, *until, DeadlineRenewal::OnConfirmation));
         if (const auto *failure = std::get_if<CallFailure>(&opened)) {
-            recordAttemptFailure(hold, *failure);
+            recordAttemptFailure(guard, *failure);
             continue;
         }
         ++m_deliveredAttempts;
         auto &exchange = std::get<HttpExchange>(opened);
         if (!acceptsAnswer(exchange, *upstream))
             continue;
-        return UpstreamAnswer{std::move(exchange), std::move(hold),
+        return UpstreamAnswer{std::move(exchange), std::move(guard),
                               isAlone ? std::optional(sentAt) : std::nullopt};
     }
 }
@@ -201,20 +201,20 @@
 /// restarted since: a connection to the previous process may stay silent permanently if the
 /// upstream was partitioned when it crashed, and the caller would wait until the deadline. The
 /// attempt also fails if the request has not arrived by its placement deadline.
-CallResult<HttpExchange> EntryCall::send(InFlightGuard &hold,
+CallResult<HttpExchange> EntryCall::send(InFlightGuard &guard,
                                          const std::shared_ptr<PlacementCallDeadline> &term)
 {
     m_cancellation = std::make_shared<CallCancellation>();
     if (m_isCallerGone || m_isShuttingDown)
         m_cancellation->cancel();
     const WallMillis sentAt = m_traffic.wallNow();
-    hold.onReplaced([cancellation = m_cancellation, sentAt](std::int64_t startedAt) {
+    guard.onReplaced([cancellation = m_cancellation, sentAt](std::int64_t startedAt) {
         // A request sent around the time of the start may run in the new process.
         if (sentAt + wholeMillis(restartMargin) < startedAt)
             cancellation->cancel();
     });
-    hold.onLeaving([term] { term->noteLeaving(); });
-    HttpCall call = buildCall(hold.upstream());
+    guard.onLeaving([term] { term->noteLeaving(); });
+    HttpCall call = buildCall(guard.upstream());
     call.m_term = term;
     return m_traffic.client().open(call);
 }
@@ -291,13 +291,13 @@
     return isUnsent;
 }
 
-void EntryCall::recordAttemptFailure(InFlightGuard &hold, const CallFailure &failure)
+void EntryCall::recordAttemptFailure(InFlightGuard &guard, const CallFailure &failure)
 {
     if (failure.m_error.m_id == ErrorId::Cancelled && m_isCallerGone)
         return;
-    const bool isUnsent = recordDeadlinePassed(hold.upstream(), failure);
+    const bool isUnsent = recordDeadlinePassed(guard.upstream(), failure);
     if (!isCancelledByShutdown(failure) && !isUnsent)
-        UpstreamPool::note(hold.upstream(), AttemptResult::Broken, m_traffic.now());
+        UpstreamPool::note(guard.upstream(), AttemptResult::Broken, m_traffic.now());
     if (failure.m_phase == SendPhase::NothingSent) {
         ++m_connectFailures;
     } else {
@@ -308,7 +308,7 @@
     m_traffic.log().warning(
             "attempt-failed",
             {m_caller.m_id,
-             hold.upstream().m_record.m_id,
+             guard.upstream().m_record.m_id,
              {LogField::ErrorName, errorName(failure.m_error.m_id)},
              {LogField::Text, failure.m_error.m_text},
              {LogField::Reason, exceededLimit(failure)},
@@ -349,13 +349,13 @@
             // The attempt was counted when its answer started.
             --m_deliveredAttempts;
             --m_possibleRuns;
-            recordAttemptFailure(answer.m_hold, *failure);
+            recordAttemptFailure(answer.m_guard, *failure);
             continue;
         }
         recordUsage();
         auto &reply = std::get<HttpReply>(reading);
         const bool isServerError = reply.m_status >= 500;
-        UpstreamPool::note(answer.m_hold.upstream(),
+        UpstreamPool::note(answer.m_guard.upstream(),
                            isServerError ? AttemptResult::ServerError : AttemptResult::Good,
                            m_traffic.now());
         if (!isServerError || !m_route->isRetryable()) {
--- a/src/entry/entry_call.hpp
+++ b/src/entry/entry_call.hpp
@@ -46,7 +46,7 @@
 struct UpstreamAnswer
 {
     HttpExchange m_exchange;
-    InFlightGuard m_hold;
+    InFlightGuard m_guard;
     /// When the request was sent, if its prompt was the only one for the upstream to read.
     std::optional<TimePoint> m_readAloneSince;
 };
@@ -84,7 +84,7 @@
     void serveStream();
 
     AttemptOutcome awaitAnswer();
-    CallResult<HttpExchange> send(InFlightGuard &hold,
+    CallResult<HttpExchange> send(InFlightGuard &guard,
                                   const std::shared_ptr<PlacementCallDeadline> &term);
     std::optional<AttemptStop> attemptStopReason(bool isFirst);
     PlacementRequest placement() const;
@@ -111,7 +111,7 @@
     bool forward(std::string_view bytes);
 
     std::string_view exceededLimit(const CallFailure &failure) const;
-    void recordAttemptFailure(InFlightGuard &hold, const CallFailure &failure);
+    void recordAttemptFailure(InFlightGuard &guard, const CallFailure &failure);
     bool recordDeadlinePassed(const PooledUpstream &upstream, const CallFailure &failure);
     bool isCancelledByShutdown(const CallFailure &failure) const;
     void recordUsage();
--- a/src/entry/entry_call_stream.cpp
+++ b/src/entry/entry_call_stream.cpp
@@ -41,7 +41,7 @@
         if (answer.m_exchange.status() / 100 != 2) {
             AnswerReadResult reading = readFullAnswer(answer);
             const auto *reply = std::get_if<HttpReply>(&reading);
-            UpstreamPool::note(answer.m_hold.upstream(), AttemptResult::ServerError,
+            UpstreamPool::note(answer.m_guard.upstream(), AttemptResult::ServerError,
                                m_traffic.now());
             recordUsage();
             if (reply && !m_hasStreamStarted)
@@ -84,12 +84,12 @@
     for (;;) {
         m_run = std::make_shared<StreamRun>();
         m_run->m_request = m_caller.m_id;
-        m_run->m_upstream = current->m_hold.pointer();
+        m_run->m_upstream = current->m_guard.pointer();
         m_traffic.mover().add(m_run);
-        const bool isWhole = forwardRun(*current);
+        const bool isComplete = forwardRun(*current);
         m_traffic.mover().remove(m_run);
-        if (isWhole || m_isCallerGone)
-            return isWhole;
+        if (isComplete || m_isCallerGone)
+            return isComplete;
         std::optional<UpstreamAnswer> next = resumeMovedRun();
         if (!next)
             return false;
@@ -136,11 +136,11 @@
     }
     m_memory = moved.m_memory;
     logPlaced(*moved.m_upstream, term->until());
-    InFlightGuard hold(moved.m_upstream, 0);
-    CallResult<HttpExchange> opened = send(hold, term);
+    InFlightGuard guard(moved.m_upstream, 0);
+    CallResult<HttpExchange> opened = send(guard, term);
     m_memory.reset();
     if (const auto *failure = std::get_if<CallFailure>(&opened)) {
-        recordAttemptFailure(hold, *failure);
+        recordAttemptFailure(guard, *failure);
         return std::nullopt;
     }
     ++m_deliveredAttempts;
@@ -153,7 +153,7 @@
                                                       {LogField::Status, exchange.status()}});
         return std::nullopt;
     }
-    return UpstreamAnswer{std::move(exchange), std::move(hold), std::nullopt};
+    return UpstreamAnswer{std::move(exchange), std::move(guard), std::nullopt};
 }
 
 bool EntryCall::forwardRun(UpstreamAnswer &answer)
@@ -169,7 +169,7 @@
         if (auto *failure = std::get_if<CallFailure>(&piece)) {
             --m_deliveredAttempts;
             --m_possibleRuns;
-            recordAttemptFailure(answer.m_hold, *failure);
+            recordAttemptFailure(answer.m_guard, *failure);
             return false;
         }
         const auto &text = std::get<std::optional<std::string>>(piece);
@@ -180,7 +180,7 @@
     }
     if (m_splitter.hasPartial())
         return false;
-    UpstreamPool::note(answer.m_hold.upstream(), AttemptResult::Good, m_traffic.now());
+    UpstreamPool::note(answer.m_guard.upstream(), AttemptResult::Good, m_traffic.now());
     if (!m_hasStreamStarted && !beginStream(answer))
         return false;
     if (!m_responder.finish()) {
@@ -196,7 +196,7 @@
 /// The first bytes of an answer show that the prompt has been read.
 void EntryCall::recordFirstEvent(UpstreamAnswer &answer)
 {
-    answer.m_hold.onPromptRead();
+    answer.m_guard.onPromptRead();
     if (const auto since = std::exchange(answer.m_readAloneSince, std::nullopt))
         m_traffic.reading().own(m_service).recordUncontended(ownTokens(), m_traffic.now() - *since);
 }
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -28,24 +28,25 @@
 constexpr LogRate logRate{400, 80};
 /// New connections are still accepted for this time after the stop signal: the load balancer checks
 /// readiness once per second and sends connections until two checks have failed.
-constexpr Duration acceptAfterTerm = std::chrono::milliseconds(2600);
+constexpr Duration acceptAfterSignal = std::chrono::milliseconds(2600);
 /// Part of the grace time reserved for answers to cancelled requests, for leaving the registry and
 /// for the end of the process.
 constexpr Duration graceMargin = std::chrono::milliseconds(700);
 /// Part of graceMargin for the answers: a VM with a tenth of a core writes about a hundred of them.
-constexpr Duration lastAnswersTime = std::chrono::milliseconds(250);
-/// Part of graceMargin for the log lines about answers that callers did not receive: two ticks.
-constexpr Duration lastLinesTime = std::chrono::milliseconds(100);
+constexpr Duration lastAnswersTimeout = std::chrono::milliseconds(250);
+/// Part of graceMargin for the log lines about answers that callers did not receive: two drain
+/// checks.
+constexpr Duration lastLinesTimeout = std::chrono::milliseconds(100);
 /// Divisor of the grace time without its margin that gives the longest time for accepting
 /// connections, so that a short grace time leaves time to answer them.
-constexpr int acceptPartsOfGrace = 2;
+constexpr int acceptGraceDivisor = 2;
 /// Part of graceMargin for the peers' receipt of the final report, while the registry is left: a
 /// round trip between data centres and a slow VM.
 constexpr Duration finalReportTime = std::chrono::milliseconds(150);
-constexpr Duration drainTick = std::chrono::milliseconds(50);
-constexpr Duration logFlushTick = std::chrono::milliseconds(100);
-constexpr Duration settingsTick = std::chrono::seconds(2);
-constexpr Duration loopTick = std::chrono::milliseconds(200);
+constexpr Duration drainCheckInterval = std::chrono::milliseconds(50);
+constexpr Duration logFlushInterval = std::chrono::milliseconds(100);
+constexpr Duration settingsInterval = std::chrono::seconds(2);
+constexpr Duration loopCheckInterval = std::chrono::milliseconds(200);
 /// A tenth of the shortest time within which a leaving upstream must receive no more requests.
 constexpr Duration loopLatenessLimit = std::chrono::milliseconds(200);
 constexpr Duration suppressedReportInterval = std::chrono::seconds(5);
@@ -274,7 +275,7 @@
     {
         while (!m_context.m_isStopping) {
             m_log->flush();
-            sleepFiber(logFlushTick);
+            sleepFiber(logFlushInterval);
         }
     }
 
@@ -283,8 +284,8 @@
     void watchLoop(const char *name)
     {
         while (!m_hasEnded) {
-            const TimePoint due = m_clock.now() + loopTick;
-            sleepFiber(loopTick);
+            const TimePoint due = m_clock.now() + loopCheckInterval;
+            sleepFiber(loopCheckInterval);
             const Duration late = m_clock.now() - due;
             if (late >= loopLatenessLimit)
                 m_log->warning("loop-late",
@@ -297,9 +298,9 @@
     {
         Duration sinceReport{};
         while (!m_context.m_isStopping) {
-            sleepFiber(settingsTick);
+            sleepFiber(settingsInterval);
             readSettings("file");
-            sinceReport += settingsTick;
+            sinceReport += settingsInterval;
             if (sinceReport < suppressedReportInterval)
                 continue;
             sinceReport = Duration::zero();
@@ -333,7 +334,7 @@
         while (m_callerServer->hasCallers()) {
             if (m_clock.now() >= end)
                 return false;
-            sleepFiber(drainTick);
+            sleepFiber(drainCheckInterval);
         }
         return true;
     }
@@ -344,12 +345,12 @@
     void cancelLastCalls()
     {
         m_cancelledRequests = m_trafficLoop.call([this] { return m_traffic.cancelCalls(); });
-        if (awaitNoCallers(m_clock.now() + lastAnswersTime))
+        if (awaitNoCallers(m_clock.now() + lastAnswersTimeout))
             return;
         // Connections whose caller has not received its answer by now are closed, and the log says
         // whose answer that was. One whose request is still arriving may yet be refused.
         m_callerServer->cutAnswers();
-        awaitNoCallers(m_clock.now() + lastLinesTime);
+        awaitNoCallers(m_clock.now() + lastLinesTimeout);
     }
 
     void drain()
@@ -360,7 +361,7 @@
                                  {LogField::Connections, m_callerServer->connections()}});
         m_duties.resign();
         m_callerServer->announceClose();
-        sleepFiber(std::min(acceptAfterTerm, grace / acceptPartsOfGrace));
+        sleepFiber(std::min(acceptAfterSignal, grace / acceptGraceDivisor));
         m_callerServer->stopAccepting();
         const bool isAnswered = awaitNoCallers(begun + grace);
         if (!isAnswered)
--- a/src/entry/entry_duties.cpp
+++ b/src/entry/entry_duties.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr Duration leaseTick = std::chrono::milliseconds(150);
-constexpr Duration usageTick = std::chrono::milliseconds(400);
-constexpr Duration scaleTick = std::chrono::milliseconds(400);
+constexpr Duration leaseInterval = std::chrono::milliseconds(150);
+constexpr Duration usageInterval = std::chrono::milliseconds(400);
+constexpr Duration scaleInterval = std::chrono::milliseconds(400);
 /// An order that has had no effect after the boot time plus this is sent again.
 constexpr Duration orderTimeout = std::chrono::seconds(4);
 
@@ -54,7 +54,7 @@
         if (contendsForLease(m_config.role(), m_lease.fence(bootNow()).has_value()))
             performLeaseStep();
         publishHolding();
-        sleepFiber(leaseTick);
+        sleepFiber(leaseInterval);
     }
     m_peers.setDuty(0, 0);
 }
@@ -136,7 +136,7 @@
     while (!m_context.m_isStopping && m_cloud) {
         if (m_lease.fence(bootNow()))
             reportDueWindows();
-        sleepFiber(usageTick);
+        sleepFiber(usageInterval);
     }
 }
 
@@ -231,7 +231,7 @@
                     scaleService(service);
             }
         }
-        sleepFiber(scaleTick);
+        sleepFiber(scaleInterval);
     }
 }
 
--- a/src/entry/entry_texts.cpp
+++ b/src/entry/entry_texts.cpp
@@ -120,12 +120,12 @@
     message.textRequest.text = static_cast<std::int32_t>(kind);
     message.textRequest.held = heldVersion(kind);
     const auto answer = m_peers.askForText(peer, message);
-    const Result<Done> taken = succeeded(answer) ? applyAnswer(kind, peer, valueOf(answer))
-                                                 : Result<Done>(errorOf(answer));
+    const Result<Done> applied = succeeded(answer) ? applyAnswer(kind, peer, valueOf(answer))
+                                                   : Result<Done>(errorOf(answer));
     const TimePoint now = m_context.now();
-    if (!succeeded(taken)) {
+    if (!succeeded(applied)) {
         fetchOf(kind).onFailed(now);
-        const Error &error = errorOf(taken);
+        const Error &error = errorOf(applied);
         m_context.m_log.warning("text-not-fetched",
                                 {{LogField::Kind, nameIn(textKindNames, kind)},
                                  {LogField::Peer, peer->m_node},
@@ -135,11 +135,11 @@
         return;
     }
     fetchOf(kind).onFetched();
-    const entrywire::EntryExchange &brought = valueOf(answer);
+    const entrywire::EntryExchange &received = valueOf(answer);
     m_context.m_log.info("text-fetched", {{LogField::Kind, nameIn(textKindNames, kind)},
                                           {LogField::Peer, peer->m_node},
-                                          {LogField::Bytes,
-                                           brought.configText.size() + brought.upstreamText.size()},
+                                          {LogField::Bytes, received.configText.size()
+                                                                    + received.upstreamText.size()},
                                           {LogField::Millis, toMillis(now - startedAt)}});
 }
 
--- a/src/entry/peer_table.cpp
+++ b/src/entry/peer_table.cpp
@@ -109,23 +109,23 @@
 
 std::vector<KnownPeerPointer> PeerTable::respondingPeers(TimePoint now) const
 {
-    std::vector<KnownPeerPointer> heard;
+    std::vector<KnownPeerPointer> selected;
     for (const auto &[address, peer] : m_peers) {
         if (isLivePeer(*peer, now) && !peer->m_isSilent)
-            heard.push_back(peer);
+            selected.push_back(peer);
     }
-    return heard;
+    return selected;
 }
 
 std::vector<KnownPeerPointer> PeerTable::recentPeers(TimePoint now) const
 {
-    std::vector<KnownPeerPointer> heard;
+    std::vector<KnownPeerPointer> selected;
     const Duration respondingWithin = pace(now).respondingWithin();
     for (const auto &[address, peer] : m_peers) {
         if (now - peer->m_lastReceivedAt <= respondingWithin)
-            heard.push_back(peer);
+            selected.push_back(peer);
     }
-    return heard;
+    return selected;
 }
 
 Duration PeerTable::longestSilence(TimePoint now) const
--- a/src/entry/upstream_list_sync.cpp
+++ b/src/entry/upstream_list_sync.cpp
@@ -81,8 +81,8 @@
     if (m_role != StoreRole::Reader)
         return m_bounds.m_leavingApply / delayDivisor;
     // A watch that waited has already let changes collect.
-    const Duration pause = m_bounds.m_leavingApply / readerDelayDivisor;
-    return std::max(m_readAt + pause - now, Duration::zero());
+    const Duration delay = m_bounds.m_leavingApply / readerDelayDivisor;
+    return std::max(m_readAt + delay - now, Duration::zero());
 }
 
 /// Returns how long a watch may wait: by role, but not beyond the time at which the list reaches
