--- a/include/gypsumdale/entry/entry_peers.hpp
+++ b/include/gypsumdale/entry/entry_peers.hpp
@@ -63,7 +63,7 @@
     /// Waits until the peers have received the final report, or until the given time.
     void awaitFinalReport(TimePoint end);
 
-    /// Adds the VM at an address that this VM was told of, unless it is known.
+    /// Adds the VM at a reported address, unless it is known.
     void learn(const std::string &node, const std::string &address, bool isSeed);
     /// Sets the number of VMs in the registry.
     void setRegistered(std::size_t vms);
--- a/include/gypsumdale/entry/entry_traffic.hpp
+++ b/include/gypsumdale/entry/entry_traffic.hpp
@@ -114,16 +114,19 @@
     bool shouldWaitForStartup() const { return m_startupKnowledge.shouldWaitForStartup(now()); }
     void setUpstreams(const std::map<UpstreamId, UpstreamRecord> &upstreams, std::int64_t revision);
     /// Sets what is known of the age of the list in use, and how long a list remains valid.
-    void setListStanding(const ListConfirmation &list, const PlacementDeadline &term);
-    Duration listAge() const { return now() - m_list.m_confirmedAt; }
+    void setListStanding(const ListConfirmation &list, const PlacementDeadline &deadline);
+    Duration listAge() const { return now() - m_listConfirmation.m_confirmedAt; }
     /// Returns the placement deadline of a request placed now, or nothing if the list is too old
     /// for placements. Complexity: constant.
-    std::optional<TimePoint> placementDeadline() const { return m_term.until(m_list, now()); }
+    std::optional<TimePoint> placementDeadline() const
+    {
+        return m_placementDeadline.until(m_listConfirmation, now());
+    }
     /// Returns the current placement deadline of a request placed earlier, at an upstream that
     /// isn't leaving. Complexity: constant.
     TimePoint renewedDeadline(TimePoint placedUntil) const
     {
-        return m_term.renewed(placedUntil, m_list);
+        return m_placementDeadline.renewed(placedUntil, m_listConfirmation);
     }
     /// Returns the delivery deadline of a run that continues at a leaving upstream, or nothing if
     /// that time has passed or is unknown. Complexity: constant.
@@ -159,8 +162,8 @@
     /// had time to receive messages from all of them; 0 after that.
     void setFleetSize(std::size_t nodes, std::size_t expected)
     {
-        m_allowance.setFleetSize(nodes);
-        m_promptNews.setFleet(nodes, m_isSpreadOut);
+        m_retryBudget.setFleetSize(nodes);
+        m_promptAnnouncer.setFleet(nodes, m_isSpreadOut);
         m_quota.setExpectedFleetSize(expected);
     }
     /// Returns the report for the peers. Complexity: linear in the number of accounts and
@@ -171,13 +174,13 @@
 
     const ServingViewPointer &view() const { return m_view; }
     UpstreamPool &pool() { return m_pool; }
-    FleetPrefillRates &reading() { return m_reading; }
+    FleetPrefillRates &reading() { return m_prefillRates; }
     FirstEventForecaster &forecaster() { return m_forecaster; }
     /// Returns how many prompt tokens an engine of a service reads in the given time; 0 if its
     /// speed isn't known.
     double tokensWithin(const ServiceId &service, Duration time) const;
     FleetQuota &quota() { return m_quota; }
-    RetryBudgetShare &allowance() { return m_allowance; }
+    RetryBudgetShare &allowance() { return m_retryBudget; }
     RunMover &mover() { return *m_mover; }
     UpstreamClient &client() { return m_client; }
     Logger &log() { return m_log; }
@@ -203,16 +206,16 @@
     HighestValue m_placementListAge;
     /// A list that was never confirmed counts as unconfirmable: waiting for a confirmation would
     /// leave all requests unserved.
-    ListConfirmation m_list{TimePoint{}, true};
-    PlacementDeadline m_term;
-    FleetPrefillRates m_reading;
-    PromptAnnouncer m_promptNews;
+    ListConfirmation m_listConfirmation{TimePoint{}, true};
+    PlacementDeadline m_placementDeadline;
+    FleetPrefillRates m_prefillRates;
+    PromptAnnouncer m_promptAnnouncer;
     bool m_isSpreadOut = false;
     FirstEventForecaster m_forecaster;
     /// As of the last report.
     std::map<ServiceId, PrefillRate> m_fleetReading;
     FleetQuota m_quota;
-    RetryBudgetShare m_allowance;
+    RetryBudgetShare m_retryBudget;
     UsageCounts m_usage;
     std::unique_ptr<RunMover> m_mover;
     std::set<EntryCall *> m_activeCalls;
--- a/include/gypsumdale/entry/entry_upstream_feed.hpp
+++ b/include/gypsumdale/entry/entry_upstream_feed.hpp
@@ -30,21 +30,21 @@
                        const std::string &peer);
 
     /// Sets how this VM learns the list from now on.
-    void setRole(StoreRole role) { m_follower.setRole(role); }
+    void setRole(StoreRole role) { m_listSync.setRole(role); }
     /// Applies an update of a reader of this data centre. Returns false if the update does not
     /// contain all changes that this VM is missing.
     bool receiveUpdate(const UpstreamListUpdate &news, ReportedAge age, std::string_view reader);
     /// Returns the changes that a follower is missing.
     UpstreamListUpdate updateFor(const FollowerState &follower) const;
     std::int64_t newestChange() const { return feed().history().newest(); }
-    TimePoint readAt() const { return m_follower.readAt(); }
+    TimePoint readAt() const { return m_listSync.readAt(); }
 
     /// Returns whether the store's last confirmation of the list is so old that a peer's list is
     /// preferred.
-    bool isStale() const { return m_follower.isStale(m_context.now()); }
+    bool isStale() const { return m_listSync.isStale(m_context.now()); }
     /// Returns whether the last read of the store failed.
     bool isStoreLost() const { return m_store.isLost(); }
-    Duration age() const { return m_follower.age(m_context.now()); }
+    Duration age() const { return m_listSync.age(m_context.now()); }
     bool isKnown() const { return feed().isKnown(); }
     std::int64_t revision() const { return feed().revision(); }
     /// Returns the list in the form that is sent to peers.
@@ -52,7 +52,7 @@
     const std::map<UpstreamId, UpstreamRecord> &upstreams() const { return feed().upstreams(); }
 
 private:
-    const UpstreamFeed &feed() const { return m_follower.feed(); }
+    const UpstreamFeed &feed() const { return m_listSync.feed(); }
     void readFullList();
     void watchOnce(const WatchStep &step);
     void noteFailed(const Error &error, ReadFailure failure);
@@ -64,7 +64,7 @@
 
     EntryContext &m_context;
     DependencyMonitor m_store;
-    UpstreamListSync m_follower;
+    UpstreamListSync m_listSync;
     std::map<UpstreamId, UpstreamRecord> m_published;
     std::set<UpstreamId> m_loggedUnusable;
 };
--- a/src/entry/entry_call.cpp
+++ b/src/entry/entry_call.cpp
@@ -202,7 +202,7 @@
 /// upstream was partitioned when it crashed, and the caller would wait until the deadline. The
 /// attempt also fails if the request has not arrived by its placement deadline.
 CallResult<HttpExchange> EntryCall::send(InFlightGuard &guard,
-                                         const std::shared_ptr<PlacementCallDeadline> &term)
+                                         const std::shared_ptr<PlacementCallDeadline> &deadline)
 {
     m_cancellation = std::make_shared<CallCancellation>();
     if (m_isCallerGone || m_isShuttingDown)
@@ -213,9 +213,9 @@
         if (sentAt + wholeMillis(restartMargin) < startedAt)
             cancellation->cancel();
     });
-    guard.onLeaving([term] { term->noteLeaving(); });
+    guard.onLeaving([deadline] { deadline->noteLeaving(); });
     HttpCall call = buildCall(guard.upstream());
-    call.m_term = term;
+    call.m_term = deadline;
     return m_traffic.client().open(call);
 }
 
--- a/src/entry/entry_call.hpp
+++ b/src/entry/entry_call.hpp
@@ -85,7 +85,7 @@
 
     AttemptOutcome awaitAnswer();
     CallResult<HttpExchange> send(InFlightGuard &guard,
-                                  const std::shared_ptr<PlacementCallDeadline> &term);
+                                  const std::shared_ptr<PlacementCallDeadline> &deadline);
     std::optional<AttemptStop> attemptStopReason(bool isFirst);
     PlacementRequest placement() const;
     bool readsAlone(const PooledUpstream &upstream) const;
--- a/src/entry/entry_call_stream.cpp
+++ b/src/entry/entry_call_stream.cpp
@@ -126,8 +126,8 @@
     // The memory was lost with the process that held it.
     if (moved.m_upstream->m_isReplaced)
         return std::nullopt;
-    const std::shared_ptr<PlacementCallDeadline> term = deadlineAt(*moved.m_upstream);
-    if (!term) {
+    const std::shared_ptr<PlacementCallDeadline> deadline = deadlineAt(*moved.m_upstream);
+    if (!deadline) {
         m_traffic.log().warning("moved-run-too-late",
                                 {m_caller.m_id,
                                  moved.m_upstream->m_record.m_id,
@@ -135,9 +135,9 @@
         return std::nullopt;
     }
     m_memory = moved.m_memory;
-    logPlaced(*moved.m_upstream, term->until());
+    logPlaced(*moved.m_upstream, deadline->until());
     InFlightGuard guard(moved.m_upstream, 0);
-    CallResult<HttpExchange> opened = send(guard, term);
+    CallResult<HttpExchange> opened = send(guard, deadline);
     m_memory.reset();
     if (const auto *failure = std::get_if<CallFailure>(&opened)) {
         recordAttemptFailure(guard, *failure);
--- a/src/entry/entry_traffic.cpp
+++ b/src/entry/entry_traffic.cpp
@@ -41,12 +41,12 @@
     , m_log(log)
     , m_metrics(metrics)
     , m_client(loop, metrics)
-    , m_term(settings.m_bounds.m_leavingApply)
+    , m_placementDeadline(settings.m_bounds.m_leavingApply)
     , m_quota(quotaSettings(settings, clock.now()))
-    , m_allowance({settings.m_bounds.m_retryRatio, settings.m_bounds.m_retrySlack,
-                   settings.m_bounds.m_retryWindow})
+    , m_retryBudget({settings.m_bounds.m_retryRatio, settings.m_bounds.m_retrySlack,
+                     settings.m_bounds.m_retryWindow})
     , m_usage(settings.m_bounds.m_usageWindow)
-    , m_mover(std::make_unique<RunMover>(loop, m_client, m_pool, m_allowance, log,
+    , m_mover(std::make_unique<RunMover>(loop, m_client, m_pool, m_retryBudget, log,
                                          settings.m_dataCentre, clock))
     , m_startupKnowledge(clock.now())
     , m_randomState(std::hash<std::string>()(settings.m_node.text())
@@ -81,24 +81,25 @@
                                 std::int64_t revision)
 {
     m_startupKnowledge.recordUpstreams();
-    const bool isConfirmed = m_list.m_confirmedAt != TimePoint{};
+    const bool isConfirmed = m_listConfirmation.m_confirmedAt != TimePoint{};
     m_pool.update(upstreams, revision,
-                  isConfirmed ? std::optional(m_list.m_confirmedAt) : std::nullopt);
+                  isConfirmed ? std::optional(m_listConfirmation.m_confirmedAt) : std::nullopt);
     m_mover->scheduleMoves();
 }
 
-void EntryTraffic::setListStanding(const ListConfirmation &list, const PlacementDeadline &term)
+void EntryTraffic::setListStanding(const ListConfirmation &list, const PlacementDeadline &deadline)
 {
-    m_list = list;
-    m_list.m_isUnconfirmable = list.m_isUnconfirmable || list.m_confirmedAt == TimePoint{};
-    m_term = term;
+    m_listConfirmation = list;
+    m_listConfirmation.m_isUnconfirmable =
+            list.m_isUnconfirmable || list.m_confirmedAt == TimePoint{};
+    m_placementDeadline = deadline;
 }
 
 std::optional<TimePoint> EntryTraffic::deadlineWhileLeaving(const PooledUpstream &upstream) const
 {
     if (!upstream.m_notLeavingAt)
         return std::nullopt;
-    const TimePoint until = m_term.deliveryDeadline(*upstream.m_notLeavingAt);
+    const TimePoint until = m_placementDeadline.deliveryDeadline(*upstream.m_notLeavingAt);
     return now() < until ? std::optional(until) : std::nullopt;
 }
 
@@ -106,7 +107,7 @@
 {
     m_quota.setPeerUsage(report.m_node, report.m_accounts, now());
     m_pool.setPeerLoad(report.m_node, report.m_loads, now());
-    m_reading.setPeer(report.m_node, report.m_reading);
+    m_prefillRates.setPeer(report.m_node, report.m_reading);
     for (const auto &[window, counts] : report.m_usage)
         m_usage.setPeer(report.m_node, report.m_incarnation, window, counts, now());
     for (const EndedProcessUsage &ended : report.m_endedUsage)
@@ -117,7 +118,7 @@
 void EntryTraffic::removePeer(const std::string &node)
 {
     m_pool.removePeer(node);
-    m_reading.removePeer(node);
+    m_prefillRates.removePeer(node);
     m_peerOffsets.erase(node);
 }
 
@@ -143,8 +144,8 @@
     result.m_accounts = m_quota.localUsage(now());
     result.m_usage = m_usage.own();
     result.m_endedUsage = m_usage.ended(now());
-    result.m_ownReading = m_reading.ownRates(now());
-    m_fleetReading = m_reading.fleetRates(now());
+    result.m_ownReading = m_prefillRates.ownRates(now());
+    m_fleetReading = m_prefillRates.fleetRates(now());
     result.m_fleetReading = m_fleetReading;
     for (const auto &[id, upstream] : m_pool.upstreams()) {
         if (upstream->m_own.m_running > 0)
@@ -157,7 +158,7 @@
 bool EntryTraffic::shouldAnnounce(const ServiceId &service, std::int64_t ownTokens)
 {
     const double speed = tokensWithin(service, std::chrono::seconds(1));
-    return m_promptNews.shouldAnnounce(static_cast<double>(ownTokens), speed, now());
+    return m_promptAnnouncer.shouldAnnounce(static_cast<double>(ownTokens), speed, now());
 }
 
 void EntryTraffic::recordPlacement(const PooledUpstream &upstream, std::int64_t ownTokens,
@@ -165,7 +166,7 @@
 {
     const UpstreamRecord &record = upstream.m_record;
     m_placementListAge.note(wholeMillis(listAge()));
-    m_reading.own(record.m_service).recordPlacement(ownTokens, now());
+    m_prefillRates.own(record.m_service).recordPlacement(ownTokens, now());
     if (shouldAnnounce && m_longPromptPlaced)
         m_longPromptPlaced(record.m_id, loadOf(upstream));
 }
--- a/src/entry/entry_upstream_feed.cpp
+++ b/src/entry/entry_upstream_feed.cpp
@@ -23,13 +23,13 @@
 EntryUpstreamFeed::EntryUpstreamFeed(EntryContext &context)
     : m_context(context)
     , m_store(context.m_log, "store-upstreams")
-    , m_follower(context.m_settings.m_bounds)
+    , m_listSync(context.m_settings.m_bounds)
 {}
 
 void EntryUpstreamFeed::follow()
 {
     while (!m_context.m_isStopping) {
-        const SyncStep step = m_follower.next(m_context.now());
+        const SyncStep step = m_listSync.next(m_context.now());
         if (const auto *rest = std::get_if<IdleStep>(&step)) {
             sleepFiber(rest->m_time);
             continue;
@@ -38,7 +38,7 @@
             watchOnce(*watch);
         else
             readFullList();
-        sleepFiber(m_follower.delayAfterRead(m_context.now()));
+        sleepFiber(m_listSync.delayAfterRead(m_context.now()));
     }
 }
 
@@ -53,7 +53,7 @@
     }
     const TimePoint now = m_context.now();
     m_store.answered(now);
-    if (m_follower.applyListing(platform::decodeUpstreams(valueOf(listing)), sentAt, now))
+    if (m_listSync.applyListing(platform::decodeUpstreams(valueOf(listing)), sentAt, now))
         publish("store");
     else
         publishListState();
@@ -74,7 +74,7 @@
     m_store.answered(now);
     const std::int64_t revision = valueOf(changes).m_revision;
     const WatchTimes times{sentAt, step.m_wait, now};
-    if (m_follower.applyChanges(platform::decodeChanges(valueOf(changes)), revision, times))
+    if (m_listSync.applyChanges(platform::decodeChanges(valueOf(changes)), revision, times))
         publish("store");
     else
         publishListState();
@@ -82,14 +82,14 @@
 
 void EntryUpstreamFeed::noteFailed(const Error &error, ReadFailure failure)
 {
-    m_follower.noteFailed(failure);
+    m_listSync.noteFailed(failure);
     m_store.failed(error);
     publishListState();
 }
 
 void EntryUpstreamFeed::expire()
 {
-    if (m_follower.expire(m_context.now()))
+    if (m_listSync.expire(m_context.now()))
         publish("expiry");
 }
 
@@ -104,7 +104,7 @@
     UpstreamList list;
     list.m_revision = revision;
     list.m_upstreams = platform::decodeUpstreamText(text);
-    if (!m_follower.applyFromPeer(std::move(list), age, m_context.now()))
+    if (!m_listSync.applyFromPeer(std::move(list), age, m_context.now()))
         return false;
     m_context.m_log.info("upstreams-from-peer",
                          {{LogField::Peer, peer}, {LogField::Revision, revision}});
@@ -120,12 +120,12 @@
 bool EntryUpstreamFeed::receiveUpdate(const UpstreamListUpdate &news, ReportedAge age,
                                       std::string_view reader)
 {
-    const UpstreamFeed::ApplyResult taking = m_follower.receiveUpdate(news, age, m_context.now());
-    if (taking == UpstreamFeed::ApplyResult::Taken)
+    const UpstreamFeed::ApplyResult result = m_listSync.receiveUpdate(news, age, m_context.now());
+    if (result == UpstreamFeed::ApplyResult::Taken)
         publish(reader);
     else
         publishListState();
-    return taking != UpstreamFeed::ApplyResult::ChangesMissing;
+    return result != UpstreamFeed::ApplyResult::ChangesMissing;
 }
 
 /// Logs once for each entry that can't be read.
@@ -185,9 +185,9 @@
 /// expected.
 void EntryUpstreamFeed::publishListState()
 {
-    const PlacementDeadline term(m_context.m_settings.m_bounds.m_leavingApply);
-    m_context.m_trafficLoop.spawn([this, term, confirmation = m_follower.standing()] {
-        m_context.m_traffic.setListStanding(confirmation, term);
+    const PlacementDeadline deadline(m_context.m_settings.m_bounds.m_leavingApply);
+    m_context.m_trafficLoop.spawn([this, deadline, confirmation = m_listSync.standing()] {
+        m_context.m_traffic.setListStanding(confirmation, deadline);
     });
 }
 
--- a/src/entry/upstream_list_sync.cpp
+++ b/src/entry/upstream_list_sync.cpp
@@ -146,11 +146,11 @@
 UpstreamFeed::ApplyResult UpstreamListSync::receiveUpdate(const UpstreamListUpdate &news,
                                                           const ReportedAge &age, TimePoint now)
 {
-    const UpstreamFeed::ApplyResult taking = m_feed.take(news, now - age.m_ageWhenSent, now);
+    const UpstreamFeed::ApplyResult result = m_feed.take(news, now - age.m_ageWhenSent, now);
     // An own list that is later contains everything that was confirmed for the reader's list.
-    if (taking != UpstreamFeed::ApplyResult::ChangesMissing)
+    if (result != UpstreamFeed::ApplyResult::ChangesMissing)
         m_confirmation.record(age);
-    return taking;
+    return result;
 }
 
 Duration UpstreamListSync::age(TimePoint now) const
