--- a/src/entry/entry_traffic.cpp
+++ b/src/entry/entry_traffic.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Usage windows kept: a report is due two windows after its end.
-constexpr WindowNumber windowsKept = 6;
+/// Number of usage windows kept: a report is due two windows after the end of its window.
+constexpr WindowNumber retainedWindows = 6;
 
-/// Returns what this VM has in flight at an upstream, for its peers.
+/// Returns this VM's load at an upstream, for its peers.
 InFlightLoad loadOf(const PooledUpstream &upstream)
 {
     InFlightLoad load = upstream.m_own;
@@ -41,14 +41,14 @@
     , m_log(log)
     , m_metrics(metrics)
     , m_client(loop, metrics)
-    , m_term(settings.m_bounds.m_leavingApply)
+    , m_placementDeadline(settings.m_bounds.m_leavingApply)
     , m_quota(quotaSettings(settings, clock.now()))
-    , m_allowance({settings.m_bounds.m_retryRatio, settings.m_bounds.m_retrySlack,
-                   settings.m_bounds.m_retryWindow})
+    , m_retryBudget({settings.m_bounds.m_retryRatio, settings.m_bounds.m_retrySlack,
+                     settings.m_bounds.m_retryWindow})
     , m_usage(settings.m_bounds.m_usageWindow)
-    , m_mover(std::make_unique<RunMover>(loop, m_client, m_pool, m_allowance, log,
+    , m_mover(std::make_unique<RunMover>(loop, m_client, m_pool, m_retryBudget, log,
                                          settings.m_dataCentre, clock))
-    , m_firstKnowledge(clock.now())
+    , m_startupKnowledge(clock.now())
     , m_randomState(std::hash<std::string>()(settings.m_node.text())
                     ^ static_cast<std::uint64_t>(clock.wallNow()))
 {}
@@ -62,42 +62,44 @@
 
 EntryTraffic::CallRegistration EntryTraffic::registerCall(EntryCall &call)
 {
-    if (m_isEndingCalls)
+    if (m_isCancellingCalls)
         call.cancelForShutdown();
-    return {m_calls, call};
+    return {m_activeCalls, call};
 }
 
 std::size_t EntryTraffic::cancelCalls()
 {
-    m_isEndingCalls = true;
-    // No call leaves the set meanwhile: its fiber ends it, when it runs again.
-    for (EntryCall *call : m_calls)
+    m_isCancellingCalls = true;
+    // The set doesn't change during the loop: each call is removed by its own fiber, which runs
+    // later.
+    for (EntryCall *call : m_activeCalls)
         call->cancelForShutdown();
-    return m_calls.size();
+    return m_activeCalls.size();
 }
 
 void EntryTraffic::setUpstreams(const std::map<UpstreamId, UpstreamRecord> &upstreams,
                                 std::int64_t revision)
 {
-    m_firstKnowledge.recordUpstreams();
-    const bool isConfirmed = m_list.m_confirmedAt != TimePoint{};
+    m_startupKnowledge.recordUpstreams();
+    const bool isConfirmed = m_listConfirmation.m_confirmedAt != TimePoint{};
     m_pool.update(upstreams, revision,
-                  isConfirmed ? std::optional(m_list.m_confirmedAt) : std::nullopt);
+                  isConfirmed ? std::optional(m_listConfirmation.m_confirmedAt) : std::nullopt);
     m_mover->scheduleMoves();
 }
 
-void EntryTraffic::setListStanding(const ListConfirmation &list, const PlacementDeadline &term)
+void EntryTraffic::setListStanding(const ListConfirmation &list, const PlacementDeadline &deadline)
 {
-    m_list = list;
-    m_list.m_isUnconfirmable = list.m_isUnconfirmable || list.m_confirmedAt == TimePoint{};
-    m_term = term;
+    m_listConfirmation = list;
+    m_listConfirmation.m_isUnconfirmable =
+            list.m_isUnconfirmable || list.m_confirmedAt == TimePoint{};
+    m_placementDeadline = deadline;
 }
 
 std::optional<TimePoint> EntryTraffic::deadlineWhileLeaving(const PooledUpstream &upstream) const
 {
     if (!upstream.m_notLeavingAt)
         return std::nullopt;
-    const TimePoint until = m_term.deliveryDeadline(*upstream.m_notLeavingAt);
+    const TimePoint until = m_placementDeadline.deliveryDeadline(*upstream.m_notLeavingAt);
     return now() < until ? std::optional(until) : std::nullopt;
 }
 
@@ -105,7 +107,7 @@
 {
     m_quota.setPeerUsage(report.m_node, report.m_accounts, now());
     m_pool.setPeerLoad(report.m_node, report.m_loads, now());
-    m_reading.setPeer(report.m_node, report.m_reading);
+    m_prefillRates.setPeer(report.m_node, report.m_reading);
     for (const auto &[window, counts] : report.m_usage)
         m_usage.setPeer(report.m_node, report.m_incarnation, window, counts, now());
     for (const EndedProcessUsage &ended : report.m_endedUsage)
@@ -116,13 +118,13 @@
 void EntryTraffic::removePeer(const std::string &node)
 {
     m_pool.removePeer(node);
-    m_reading.removePeer(node);
+    m_prefillRates.removePeer(node);
     m_peerOffsets.erase(node);
 }
 
 WallMillis EntryTraffic::wallNow()
 {
-    return m_wall.read(bootNow(), m_clock.wallNow());
+    return m_wallClock.read(bootNow(), m_clock.wallNow());
 }
 
 TrafficReport EntryTraffic::report()
@@ -131,19 +133,19 @@
     for (const auto &[node, offset] : m_peerOffsets)
         offsets.push_back(offset);
     const std::size_t peers = offsets.size();
-    if (const WallMillis correction = m_wall.adjustToPeers(std::move(offsets)))
+    if (const WallMillis correction = m_wallClock.adjustToPeers(std::move(offsets)))
         m_log.warning("clock-put-right",
                       {{LogField::Millis, correction}, {LogField::Count, peers}});
     m_peerOffsets.clear();
 
     TrafficReport result;
     result.m_wall = wallNow();
-    m_usage.removeBefore(m_usage.windowAt(result.m_wall) - windowsKept);
+    m_usage.removeBefore(m_usage.windowAt(result.m_wall) - retainedWindows);
     result.m_accounts = m_quota.localUsage(now());
     result.m_usage = m_usage.own();
     result.m_endedUsage = m_usage.ended(now());
-    result.m_ownReading = m_reading.ownRates(now());
-    m_fleetReading = m_reading.fleetRates(now());
+    result.m_ownReading = m_prefillRates.ownRates(now());
+    m_fleetReading = m_prefillRates.fleetRates(now());
     result.m_fleetReading = m_fleetReading;
     for (const auto &[id, upstream] : m_pool.upstreams()) {
         if (upstream->m_own.m_running > 0)
@@ -156,7 +158,7 @@
 bool EntryTraffic::shouldAnnounce(const ServiceId &service, std::int64_t ownTokens)
 {
     const double speed = tokensWithin(service, std::chrono::seconds(1));
-    return m_promptNews.shouldAnnounce(static_cast<double>(ownTokens), speed, now());
+    return m_promptAnnouncer.shouldAnnounce(static_cast<double>(ownTokens), speed, now());
 }
 
 void EntryTraffic::recordPlacement(const PooledUpstream &upstream, std::int64_t ownTokens,
@@ -164,7 +166,7 @@
 {
     const UpstreamRecord &record = upstream.m_record;
     m_placementListAge.note(wholeMillis(listAge()));
-    m_reading.own(record.m_service).recordPlacement(ownTokens, now());
+    m_prefillRates.own(record.m_service).recordPlacement(ownTokens, now());
     if (shouldAnnounce && m_longPromptPlaced)
         m_longPromptPlaced(record.m_id, loadOf(upstream));
 }
@@ -183,7 +185,7 @@
 
 std::uint64_t EntryTraffic::draw()
 {
-    // A linear congruential step is enough to spread retries and placements.
+    // A linear congruential generator is sufficient to spread retries and placements.
     m_randomState = m_randomState * 6364136223846793005ULL + 1442695040888963407ULL;
     return m_randomState;
 }
