--- a/include/gypsumdale/fleet/active_time_clock.hpp
+++ b/include/gypsumdale/fleet/active_time_clock.hpp
@@ -6,9 +6,9 @@
 
 namespace gypsumdale {
 
-/// The time this process spent listening: the sum of the gaps between ticks, each counted up to a
-/// longest one. Silence is measured in it, so that a pause of the observer, which shows as one long
-/// gap, ages nobody.
+/// Time during which this process was running and able to receive: the sum of the gaps between
+/// ticks, each counted up to a maximum. Silence of peers is measured with this clock, so that a
+/// pause of the observer, which appears as one long gap, doesn't count as silence of the others.
 class ActiveTimeClock
 {
 public:
--- a/include/gypsumdale/fleet/change_log.hpp
+++ b/include/gypsumdale/fleet/change_log.hpp
@@ -8,7 +8,8 @@
 
 namespace gypsumdale {
 
-/// The keys that changed after a version, oldest change first, and the version they lead up to.
+/// Keys that changed after a version, oldest change first, and the version up to which the list is
+/// complete.
 template <typename Key>
 struct Changes
 {
@@ -16,15 +17,15 @@
     std::int64_t m_upTo = 0;
 };
 
-/// Remembers in which order keys changed, so that a peer is sent only what changed since the
-/// version it confirmed. Each key is kept once, at its latest change: memory is linear in the keys
-/// however often they change. Values are the caller's and must be absolute, since a change may be
-/// sent twice.
+/// Records the order in which keys changed, so that a peer is sent only the changes since the
+/// version it confirmed. Each key is stored once, at its latest change, so memory is linear in the
+/// number of keys however often they change. The caller stores the values; they must be absolute,
+/// since a change may be sent twice.
 template <typename Key>
 class ChangeLog
 {
 public:
-    /// Notes a change of the key. Logarithmic.
+    /// Records a change of the key. Complexity: logarithmic.
     void touch(const Key &key)
     {
         ++m_version;
@@ -36,7 +37,7 @@
         m_keyAt.emplace(m_version, key);
     }
 
-    /// Drops a key that no longer exists. Logarithmic.
+    /// Removes a key that no longer exists. Complexity: logarithmic.
     void forget(const Key &key)
     {
         const auto entry = m_versionOf.find(key);
@@ -46,7 +47,7 @@
         m_versionOf.erase(entry);
     }
 
-    /// Returns at most `limit` keys that changed after `version`. Linear in what is returned.
+    /// Returns at most `limit` keys that changed after `version`. Complexity: linear in the result.
     Changes<Key> since(std::int64_t version, std::size_t limit) const
     {
         Changes<Key> result;
--- a/include/gypsumdale/fleet/config_command.hpp
+++ b/include/gypsumdale/fleet/config_command.hpp
@@ -12,49 +12,49 @@
 
 namespace gypsumdale {
 
-/// List all objects of configPlatformKind with bodies; answer with onPlatformList or
-/// onPlatformFailed. At most one is out at a time.
+/// Lists all objects of configPlatformKind with their bodies; answered with onPlatformList or
+/// onPlatformFailed. At most one such call is in progress at a time.
 struct ReadPlatform
 {};
 
-/// Watch configPlatformKind after the version; answer with onPlatformWatch, onPlatformTooOld or
-/// onPlatformFailed. At most one is out at a time.
+/// Watches configPlatformKind for changes after the version; answered with onPlatformWatch,
+/// onPlatformTooOld or onPlatformFailed. At most one such call is in progress at a time.
 struct WatchPlatform
 {
     ConfigVersion m_after = 0;
     Duration m_timeout{};
 };
 
-/// Send a ConfigAsk to a peer.
+/// Sends a ConfigAsk to a peer.
 struct QueryPeer
 {
     NodeId m_peer;
     ConfigAsk m_ask;
 };
 
-/// Send an update to a peer: an answer, or news that it hasn't asked for.
+/// Sends an update to a peer, either as an answer or unrequested.
 struct SendUpdate
 {
     NodeId m_peer;
     ConfigUpdate m_update;
 };
 
-/// Send the digest now instead of with the next heartbeat.
+/// Sends the digest immediately instead of with the next heartbeat.
 struct SendDigest
 {
     NodeId m_peer;
     ConfigDigestFrom m_digest;
 };
 
-/// Put an object in force, in place of its lower version. A deleted object ends.
+/// Puts an object in force, replacing its lower version. A deleted object is no longer in force.
 struct PutInForce
 {
     ConfigObject m_object;
     ConfigValue m_value;
 };
 
-/// A version was read that its checker refuses; the version in force, if any, stays. To be logged
-/// and shown to operators.
+/// Reports that a version was read that its checker refuses; the version in force, if any, remains.
+/// To be logged and shown to operators.
 struct BodyRefused
 {
     ConfigKey m_key;
@@ -62,8 +62,8 @@
     Findings m_findings;
 };
 
-/// The node knows from now on that it has at least what its former lives had in force. All
-/// PutInForce commands of the start stand before it.
+/// Reports that the node now knows at least what its former incarnations had in force. All
+/// PutInForce commands of the start precede it.
 struct ConfigReady
 {
     std::string m_reason;
--- a/include/gypsumdale/fleet/config_message.hpp
+++ b/include/gypsumdale/fleet/config_message.hpp
@@ -13,20 +13,21 @@
 /// What a node knows of the configuration, small enough for each heartbeat.
 struct ConfigDigest
 {
-    /// The node knows the platform's configuration as it was at this version of the store; 0 means
-    /// that it has read none yet.
+    /// The node knows the platform's configuration as of this version of the store; 0 means that it
+    /// has read none yet.
     ConfigVersion m_completeTo = 0;
     /// Hash over kind, name and version of all objects that are not deleted, and their count.
     std::uint64_t m_hash = 0;
     std::uint64_t m_count = 0;
-    /// The highest version among them.
+    /// Highest version among them.
     ConfigVersion m_highest = 0;
-    /// The highest version that the node knows any node of its data centre to have put in force.
+    /// Highest version that any node of the sender's data centre has put in force, as far as the
+    /// sender knows.
     ConfigVersion m_floor = 0;
-    /// A time, by the clock of the relay that spoke to the platform, at which the platform is known
-    /// to have held nothing newer. 0 means unknown.
+    /// Time, by the clock of the relay that read the platform, at which the platform is known to
+    /// have had nothing newer. 0 means unknown.
     WallMillis m_confirmedAsOf = 0;
-    /// Whether the node knows that it has at least what its former lives had in force.
+    /// Whether the node knows at least what its former incarnations had in force.
     bool m_ready = false;
 };
 
@@ -39,7 +40,7 @@
     ConfigDigest m_digest;
 };
 
-/// Asks for every change after a version; 0 asks for everything.
+/// Requests every change after a version; 0 requests everything.
 struct ConfigAsk
 {
     NodeId m_node;
@@ -48,8 +49,8 @@
     ConfigVersion m_from = 0;
 };
 
-/// The changes after `m_from` up to `m_upTo`, with deletions. With `m_from` 0 it is a snapshot: an
-/// object that it lacks didn't exist at `m_upTo`.
+/// Changes after `m_from` up to `m_upTo`, deletions included. With `m_from` 0 it is a snapshot: an
+/// object missing in it didn't exist at `m_upTo`.
 struct ConfigChanges
 {
     ConfigVersion m_from = 0;
@@ -57,12 +58,12 @@
     ConfigObjects m_objects;
 };
 
-/// Changes from a peer, as the answer to a question or unasked.
+/// Changes from a peer, either as an answer to a ConfigAsk or unrequested.
 struct ConfigUpdate
 {
     ConfigDigestFrom m_sender;
     ConfigChanges m_changes;
-    /// The asker and its life for an answer; empty and 0 for changes sent unasked.
+    /// Node that asked and its incarnation, for an answer; empty and 0 for unrequested changes.
     NodeId m_answerTo;
     Incarnation m_answerToIncarnation = 0;
 };
--- a/include/gypsumdale/fleet/config_object.hpp
+++ b/include/gypsumdale/fleet/config_object.hpp
@@ -16,12 +16,12 @@
 
 namespace gypsumdale {
 
-/// A version of the platform's store. One counter serves the whole store, so versions of different
-/// objects compare too, and "everything up to version V" means something.
+/// Version of the platform's store. One counter serves the whole store, so versions of different
+/// objects are comparable, and "everything up to version V" is well defined.
 using ConfigVersion = std::uint64_t;
 
-/// The platform's kind of all configuration objects. One kind for all of them lets one list and one
-/// watch cover the whole configuration.
+/// The platform's kind of all configuration objects. With one kind for all of them, one list and
+/// one watch cover the whole configuration.
 inline constexpr std::string_view configPlatformKind = "settings";
 
 struct ConfigKey
@@ -39,10 +39,10 @@
 /// Returns the object's name in the platform, such as "profile/quote-draft".
 std::string platformName(const ConfigKey &key);
 
-/// Reads a name in the platform back; nothing for one that isn't a configuration object's.
+/// Parses a name in the platform; returns nothing if it isn't the name of a configuration object.
 std::optional<ConfigKey> configKeyOf(std::string_view platformName);
 
-/// One version of one object as the platform has it. A deleted one has no body.
+/// One version of one object as stored in the platform. A deleted object has no body.
 struct ConfigObject
 {
     ConfigKey m_key;
@@ -53,10 +53,11 @@
 
 using ConfigObjects = std::vector<ConfigObject>;
 
-/// What a body says; empty for a deleted object.
+/// Parsed content of a body; empty for a deleted object.
 using ConfigValue = std::variant<std::monostate, Profile, FleetSettings, Member>;
 
-/// Reads the body of an object with the checker of its kind. Findings name the object as document.
+/// Parses the body of an object with the checker of its kind. Findings name the object as their
+/// document.
 Checked<ConfigValue> checkConfigBody(const ConfigKey &key, std::string_view body);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/config_peers.hpp
+++ b/include/gypsumdale/fleet/config_peers.hpp
@@ -8,8 +8,9 @@
 
 namespace gypsumdale {
 
-/// What a node knows of the other nodes of its data centre, each in its present life: up to which
-/// version they know the configuration, whether they answered, and when they were proved gone.
+/// What a node knows of the other nodes of its data centre, each in its current incarnation: up to
+/// which version they know the configuration, whether they answered, and when they were proved
+/// gone.
 class ConfigPeers
 {
 public:
@@ -18,21 +19,23 @@
     bool contains(const NodeId &node) const { return m_peers.contains(node); }
     std::vector<NodeId> nodes() const;
 
-    /// A message of that life arrived; false if a later life was heard already. Nodes of other data
-    /// centres pass.
+    /// Records that a message of that incarnation arrived. Returns false if a later incarnation is
+    /// already known. Always returns true for nodes of other data centres.
     bool recordIncarnation(const NodeId &node, Incarnation incarnation);
-    /// The node knows all up to a version.
+    /// Records that the node knows everything up to a version.
     void recordCompleteVersion(const NodeId &node, ConfigVersion completeTo);
-    /// It answered this life while ready itself.
+    /// Records that the node, while ready, answered this incarnation.
     void recordAnswer(const NodeId &node) { m_peers[node].m_answered = true; }
-    /// It was proved after this time that no process of it ran; false if it is none of them.
+    /// Records proof that no process of the node ran at some moment after `since`. Returns false if
+    /// the node is not one of these peers.
     bool recordGone(const NodeId &node, TimePoint since);
 
-    /// Those that haven't answered.
+    /// Returns the nodes that haven't answered.
     std::vector<NodeId> unanswered() const;
-    /// Tells whether there are others, and all of them answered.
+    /// Returns whether there are other nodes and all of them answered.
     bool hasEveryAnswer() const;
-    /// Whether one of them knows a version, or none ran after it was learned here.
+    /// Returns whether one of the nodes knows the version, or none of them ran after it was learned
+    /// here.
     bool isSafe(ConfigVersion version, TimePoint learnedAt) const;
 
 private:
--- a/include/gypsumdale/fleet/config_replica.hpp
+++ b/include/gypsumdale/fleet/config_replica.hpp
@@ -9,34 +9,37 @@
 
 namespace gypsumdale {
 
-/// The platform's configuration as it was at one version of its store, `completeTo`: all objects up
-/// to that version, and none missing. It only moves forward, so one number compares two of them.
+/// Replica of the platform's configuration as of one version of its store, `completeTo`: all
+/// objects up to that version, without gaps. The version only increases, so one number is enough to
+/// compare two replicas.
 class ConfigReplica
 {
 public:
-    /// Tells whether changes join on without a gap. Constant.
+    /// Returns whether the changes follow the known version without a gap. Complexity: constant.
     bool isContiguous(const ConfigChanges &changes) const { return changes.m_from <= m_completeTo; }
 
-    /// Takes changes that join on, and returns what is new by them, deletions included. Changes up
-    /// to an earlier version than the known one are left aside whole: a lagging peer could name an
-    /// object whose deletion is known here but no longer remembered. O(n log n).
+    /// Applies contiguous changes and returns the objects that are new, deletions included. Changes
+    /// up to a version earlier than the known one are ignored completely: a lagging peer could name
+    /// an object whose deletion is known here but whose tombstone is no longer retained.
+    /// Complexity: O(n log n).
     ConfigObjects take(const ConfigChanges &changes);
 
-    /// Returns the changes after a version; a snapshot for 0 or where the deletions since then are
-    /// no longer remembered. Linear.
+    /// Returns the changes after a version; a snapshot if the version is 0 or the deletions since
+    /// then are no longer retained. Complexity: linear.
     ConfigChanges changesAfter(ConfigVersion from) const;
 
-    /// Tells whether a digest's sender has the same objects. Constant.
+    /// Returns whether the sender of a digest has the same objects. Complexity: constant.
     bool isSame(const ConfigDigest &digest) const;
 
-    /// Notes that nothing changed up to a version, as a digest with the same objects shows.
-    /// Objects that came and went on the way are not known, so later questions from before that
-    /// version get snapshots. Does nothing for an earlier version. Linear in the deletions.
+    /// Advances to a version up to which nothing changed, as a digest with the same objects shows.
+    /// Objects that were created and deleted in between are unknown, so a later request for changes
+    /// since an earlier version gets a snapshot. Does nothing for an earlier version. Complexity:
+    /// linear in the number of deletions.
     void advanceTo(ConfigVersion version);
 
     ConfigVersion completeTo() const { return m_completeTo; }
 
-    /// Fills what a digest says of the objects. Constant.
+    /// Fills the fields of a digest that are about the objects. Complexity: constant.
     void fillDigest(ConfigDigest &digest) const;
 
 private:
@@ -47,7 +50,7 @@
 
     std::map<ConfigKey, ConfigObject> m_objects;
     ConfigVersion m_completeTo = 0;
-    /// All deletions after this version are remembered.
+    /// All deletions after this version are retained.
     ConfigVersion m_historyFrom = 0;
     std::uint64_t m_hash = 0;
     std::uint64_t m_count = 0;
--- a/include/gypsumdale/fleet/config_store.hpp
+++ b/include/gypsumdale/fleet/config_store.hpp
@@ -18,113 +18,121 @@
 
 namespace gypsumdale {
 
-/// What a ConfigStore is made from; ConfigStoreBuilder fills it.
+/// Settings of a ConfigStore; filled by ConfigStoreBuilder.
 struct ConfigStoreSetup
 {
     NodeId m_node;
     DataCentreId m_dataCentre;
     Incarnation m_incarnation = 0;
-    /// The other nodes of the same data centre that the settings name. The lists of a data centre's
-    /// nodes must name each other.
+    /// The other nodes of the same data centre that the settings name. The nodes of a data centre
+    /// must name each other in these lists.
     std::vector<NodeId> m_localPeers;
-    /// The time of day at this life's start.
+    /// Time of day at the start of this incarnation.
     WallMillis m_startedAt = 0;
-    /// The most by which the clocks of two VMs may differ.
+    /// Maximum difference between the clocks of two VMs.
     Duration m_clockMargin = std::chrono::seconds(2);
     Duration m_watchTimeout = std::chrono::seconds(3);
-    /// How long a node that isn't the relay waits for news of the platform before it reads it
-    /// itself.
+    /// Time without confirmed data from the platform after which a node that isn't the relay reads
+    /// the platform itself.
     Duration m_relayTimeout = std::chrono::seconds(5);
-    /// Between two questions to the same peer.
+    /// Minimum time between two requests to peers.
     Duration m_askInterval = std::chrono::milliseconds(500);
-    /// After a failure of the platform: the first wait, doubled up to the longest.
+    /// Initial backoff after a failure of the platform; doubled up to the longest one.
     Duration m_firstBackoff = std::chrono::milliseconds(250);
     Duration m_longestBackoff = std::chrono::seconds(4);
 };
 
-/// Which configuration one node has in force. Holds no clock and no sockets: the kernel passes
-/// events with the time in and carries out the commands that come back, in their order.
+/// Decides which configuration one node has in force. Has no clock and no sockets: the kernel
+/// passes in events with the time, and executes the returned commands in their order.
 ///
-/// What is *known* is the platform's state as of one version of its store (ConfigReplica). What
-/// is *in force* follows the known, object by object, and only rises:
+/// *Known* is the platform's state as of one version of its store (ConfigReplica). *In force*
+/// follows the known state, object by object, and only to higher versions:
 ///
-/// - A body that its checker refuses stays known, and isn't put in force.
-/// - A version is put in force once another node of the data centre has said that it knows it, or
-///   once every one of them was found gone after this node learned it. Failure guarded against: a
-///   node alone knows a version, puts it in force, loses its memory in a restart and, with the
-///   platform out, comes back with an older one. With the guard, the version is on another node,
-///   and the restarted node waits for that node's answer.
-/// - A node is ready (and puts anything in force) only when it knows at least what its former lives
-///   had in force; see isReady().
+/// - A body that its checker refuses is known, but isn't put in force.
+/// - A version is put in force once another node of the data centre has reported that it knows it,
+///   or once every one of them was found gone after this node learned it. Failure guarded against:
+///   a single node knows a version, puts it in force, loses its memory in a restart and, with the
+///   platform unavailable, starts again with an older one. With the guard, the version is on
+///   another node, and the restarted node waits for that node's answer.
+/// - A node is ready (and puts anything in force) only when it knows at least what its former
+///   incarnations had in force; see isReady().
 ///
-/// The relay of a data centre is the live node that rendezvous hashing prefers. It watches the
-/// platform and passes changes on. Two relays at once do the same work twice, and no harm.
+/// The relay of a data centre is the live node that rendezvous hashing selects. It watches the
+/// platform and forwards changes. Two relays at a time duplicate work but do no harm.
 class ConfigStore
 {
 public:
     explicit ConfigStore(ConfigStoreSetup setup);
 
-    /// Begins a life. The process must accept frames from peers before this call: a peer takes a
-    /// refused connection as proof that no process of this node runs.
+    /// Starts an incarnation. The process must accept frames from peers before this call: a peer
+    /// takes a refused connection as proof that no process of this node runs.
     ConfigCommands start(TimePoint now);
 
-    /// To be called at nextTimer() or later. Does nothing when called too early.
+    /// Executes what is due; to be called at nextTimer() or later. Does nothing when called too
+    /// early.
     ConfigCommands onTimer(TimePoint now);
 
-    /// When onTimer has something to do.
+    /// Returns the time at which onTimer has something to do.
     TimePoint nextTimer() const;
 
-    /// The nodes of the data centre that membership holds to be live, this one among them. Linear.
+    /// Sets the live nodes of the data centre according to membership, this one included.
+    /// Complexity: linear.
     ConfigCommands onLiveNodes(std::span<const NodeId> nodes, TimePoint now);
 
-    /// The answer to ReadPlatform. `askedAt` is the time of day when the call was sent.
+    /// Handles the answer to ReadPlatform. `askedAt` is the time of day at which the call was sent.
     ConfigCommands onPlatformList(const ConfigChanges &snapshot, WallMillis askedAt, TimePoint now);
 
-    /// The answer to WatchPlatform, also an empty one at the timeout. `askedAt` is the time of day
-    /// when the call was sent.
+    /// Handles the answer to WatchPlatform, including an empty one at the timeout. `askedAt` is the
+    /// time of day at which the call was sent.
     ConfigCommands onPlatformWatch(const ConfigChanges &changes, WallMillis askedAt, TimePoint now);
 
-    /// The watch began too far back: the platform has to be listed again.
+    /// Handles a watch whose start version is no longer available: the platform has to be listed
+    /// again.
     ConfigCommands onPlatformTooOld(TimePoint now);
 
-    /// A list or a watch failed or had no answer in time.
+    /// Handles a list or watch that failed or timed out.
     ConfigCommands onPlatformFailed(TimePoint now);
 
-    /// A digest arrived, by heartbeat, by summary from another data centre, or on its own.
+    /// Handles a digest that arrived by heartbeat, in a summary from another data centre, or
+    /// separately.
     ConfigCommands onDigest(const ConfigDigestFrom &digest, TimePoint now);
 
     ConfigCommands onAsk(const ConfigAsk &ask, TimePoint now);
 
     ConfigCommands onUpdate(const ConfigUpdate &update, TimePoint now);
 
-    /// No process of that peer ran at some moment after `since`: its host refused a connection that
-    /// was begun then, or the cloud said then that its VM had ended. Silence is no proof: a node
-    /// that is only cut off would be passed over, and could later vouch for an older version. A
-    /// caller that gives up on a silent peer all the same trades that risk for progress.
+    /// Handles proof that no process of that peer ran at some moment after `since`: its host
+    /// refused a connection that was begun then, or the cloud reported then that its VM had ended.
+    /// Silence is no proof: a node that is only partitioned would be skipped, and could later
+    /// confirm an older version. A caller that gives up on a silent peer nevertheless trades that
+    /// risk for progress.
     ConfigCommands onPeerGone(const NodeId &peer, TimePoint since);
 
-    /// Whether the node may serve: it has read the platform in this life; or a peer's knowledge
-    /// that it took over was confirmed after its start (by more than the clock margin, since the
-    /// two times come from two clocks: with a skew above the margin this rule could hold wrongly);
-    /// or every configured node of its data centre, itself ready, has answered this life.
+    /// Returns whether the node may serve. One of these rules must hold: it has read the platform
+    /// in this incarnation; a peer's state that it applied was confirmed after its start (by more
+    /// than the clock margin, since the two times are from two clocks: with a skew above the margin
+    /// this rule could hold wrongly); or every configured node of its data centre, itself ready,
+    /// has answered this incarnation.
     ///
-    /// The third rule holds because what a former life had in force was known to one of them, and a
-    /// node that is ready hasn't lost that. Never undone within a life.
+    /// The third rule is sound because what a former incarnation had in force was known to one of
+    /// these nodes, and a node that is ready hasn't lost it. Once true, the result stays true
+    /// within an incarnation.
     bool isReady() const { return m_ready; }
 
-    /// Why the node isn't ready, for /readyz and status; empty once it is.
+    /// Returns why the node isn't ready, for /readyz and status; empty once it is.
     std::string notReadyReason() const;
 
-    /// The highest version in force, 0 for none.
+    /// Returns the highest version in force, 0 for none.
     ConfigVersion versionInForce() const;
 
-    /// The objects in force, for the admin interface; deleted ones are left out. Linear.
+    /// Returns the objects in force, for the admin interface, without deleted ones. Complexity:
+    /// linear.
     std::vector<ConfigObject> inForce() const;
 
-    /// One object in force, or nothing. Logarithmic.
+    /// Returns one object in force, or nothing. Complexity: logarithmic.
     std::optional<ConfigObject> inForce(const ConfigKey &key) const;
 
-    /// The versions that are known but refused by their checker. Linear.
+    /// Returns the versions that are known but refused by their checker. Complexity: linear.
     std::vector<BodyRefused> refused() const;
 
     bool isRelay() const;
@@ -132,7 +140,7 @@
     ConfigDigestFrom digest() const;
 
 private:
-    /// An object on its way into force.
+    /// An object that is known but not yet in force.
     struct Candidate
     {
         ConfigObject m_object;
@@ -167,7 +175,7 @@
     std::map<ConfigKey, BodyRefused> m_refused;
     ConfigPeers m_peers;
     std::vector<NodeId> m_liveNodes;
-    /// The highest version that any node of the data centre is known to have put in force.
+    /// Highest version that any node of the data centre is known to have put in force.
     ConfigVersion m_floor = 0;
     ConfigVersion m_highestInForce = 0;
     WallMillis m_confirmedAsOf = 0;
@@ -182,7 +190,7 @@
     TimePoint m_nextTimer;
 };
 
-/// Sets up a ConfigStore.
+/// Builds a ConfigStore.
 class ConfigStoreBuilder
 {
 public:
@@ -198,7 +206,7 @@
     ConfigStoreSetup m_setup;
 };
 
-/// The key by which rendezvous hashing chooses a data centre's relay.
+/// Key with which rendezvous hashing selects the relay of a data centre.
 inline constexpr std::string_view configRelayKey = "config-relay";
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/config_writer.hpp
+++ b/include/gypsumdale/fleet/config_writer.hpp
@@ -11,19 +11,19 @@
 
 namespace gypsumdale {
 
-/// One change that an operator asks for.
+/// One change requested by an operator.
 struct ConfigEdit
 {
     ConfigKey m_key;
-    /// The version that the operator edited; 0 to create.
+    /// Version that the operator edited; 0 to create the object.
     ConfigVersion m_editedVersion = 0;
     std::string m_body;
     bool m_delete = false;
-    /// Unique among all writes; the written body carries it.
+    /// Unique among all writes; stored in the written body.
     std::string m_writeId;
 };
 
-/// Put the body, on the condition that the object is at the version (0: doesn't exist).
+/// Writes the body on condition that the object is at the version (0: doesn't exist).
 struct PutObject
 {
     ConfigKey m_key;
@@ -31,20 +31,20 @@
     std::string m_body;
 };
 
-/// Delete the object, on the condition that it is at the version.
+/// Deletes the object on condition that it is at the version.
 struct DeleteObject
 {
     ConfigKey m_key;
     ConfigVersion m_ifVersion = 0;
 };
 
-/// Read the object.
+/// Reads the object.
 struct ReadObject
 {
     ConfigKey m_key;
 };
 
-/// The platform took the change. The version is 0 for a deletion.
+/// The platform accepted the change. The version is 0 for a deletion.
 struct EditAccepted
 {
     ConfigVersion m_version = 0;
@@ -56,26 +56,26 @@
     Findings m_findings;
 };
 
-/// Another change came first, and this one had no effect. Carries both: the body that the operator
-/// sent and the object as it is now (nothing if it doesn't exist).
+/// Another change came first, and this one had no effect. Contains the body that the operator sent
+/// and the current object (nothing if it doesn't exist).
 struct EditConflict
 {
     ConfigVersion m_editedVersion = 0;
     std::string m_body;
     std::optional<ConfigObject> m_current;
-    /// False when the object couldn't be read, so that nothing is known of it.
+    /// False if the object couldn't be read, so that its current state is unknown.
     bool m_isRead = true;
 };
 
-/// It can't be told whether the change took effect: no answer in time, or another change has
-/// overwritten what would tell.
+/// It is unknown whether the change took effect: there was no answer in time, or another change has
+/// overwritten the evidence.
 struct EditUnknown
 {
     Error m_error;
     std::optional<ConfigObject> m_current;
 };
 
-/// The platform refused the call or couldn't be asked; the change had no effect.
+/// The platform refused the call or was unreachable; the change had no effect.
 struct EditFailed
 {
     Error m_error;
@@ -84,13 +84,14 @@
 using ConfigWriterStep = std::variant<PutObject, DeleteObject, ReadObject, EditAccepted,
                                       EditRefused, EditConflict, EditUnknown, EditFailed>;
 
-/// One operator's write, from the check to a settled outcome.
+/// One operator's write, from the check to its final outcome.
 ///
-/// The write is conditional on the version that was edited. When its answer is lost it is settled
-/// by reading back: the body carries a write id in its last line. Only when the object is still at
-/// the edited version is the same write sent again; if the first one arrives after all, the
-/// condition lets one of the two through, and the read after the other's refusal finds the same id.
-/// Each function returns the next step: a call to make, or an outcome, which ends the write.
+/// The write is conditional on the version that was edited. If its answer is lost, the outcome is
+/// determined by reading the object: the last line of the body contains a write id. The same write
+/// is sent again only if the object is still at the edited version; if the first one arrives after
+/// all, the condition lets one of the two succeed, and the read after the refusal of the other
+/// finds the same id. Each function returns the next step: a call to make, or an outcome, which
+/// ends the write.
 class ConfigWriter
 {
 public:
@@ -99,23 +100,23 @@
     /// Checks the body and returns the write, or EditRefused.
     ConfigWriterStep start();
 
-    /// The platform took the write and gave it a version.
+    /// Handles success: the platform applied the write and assigned it a version.
     ConfigWriterStep onWritten(ConfigVersion version);
 
-    /// The platform refused the write, since the object is at another version.
+    /// Handles a refused condition: the object is at another version.
     ConfigWriterStep onConflict();
 
-    /// The write failed before the platform can have seen it, or the platform refused it for
-    /// another reason than its version (its rate, say).
+    /// Handles a write that failed before it could reach the platform, or that the platform refused
+    /// for a reason other than its version, such as its rate limit.
     ConfigWriterStep onRefused(const Error &error);
 
-    /// The answer to the write was lost.
+    /// Handles a write whose answer was lost.
     ConfigWriterStep onAnswerLost(const Error &error);
 
-    /// The answer to ReadObject; nothing if the object doesn't exist.
+    /// Handles the answer to ReadObject; nothing if the object doesn't exist.
     ConfigWriterStep onRead(const std::optional<ConfigObject> &object);
 
-    /// ReadObject had no answer.
+    /// Handles a ReadObject without an answer.
     ConfigWriterStep onReadFailed(const Error &error);
 
 private:
@@ -127,10 +128,11 @@
     int m_callsLeft;
 };
 
-/// Returns the body with the write id in its last line, in place of an earlier one. Linear.
+/// Returns the body with the write id in its last line, replacing an earlier one. Complexity:
+/// linear.
 std::string withWriteId(std::string_view body, std::string_view writeId);
 
-/// Returns the write id that a body carries, or nothing. Linear.
+/// Returns the write id in a body, or nothing. Complexity: linear.
 std::optional<std::string> writeIdOf(std::string_view body);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/data_centre_summary.hpp
+++ b/include/gypsumdale/fleet/data_centre_summary.hpp
@@ -8,7 +8,7 @@
 
 namespace gypsumdale {
 
-/// What a data centre can take on for one service, summed over its live upstreams.
+/// Capacity of a data centre for one service, summed over its live upstreams.
 struct ServiceCapacity
 {
     ServiceId m_service;
@@ -18,8 +18,8 @@
     int m_queued = 0;
 };
 
-/// One data centre as another one sees it. The list of nodes is left out while the receiver is
-/// taken to have it; the digest tells.
+/// State of one data centre as sent to others. The list of nodes is left out while the receiver is
+/// assumed to have it; the digest shows whether it has.
 struct DataCentreSummary
 {
     DataCentreId m_dataCentre;
@@ -30,7 +30,8 @@
     std::vector<ServiceCapacity> m_services;
 };
 
-/// Over the names and incarnations of nodes, whatever their order. Linear.
+/// Returns a digest over the names and incarnations of nodes, independent of their order.
+/// Complexity: linear.
 std::int64_t digestOf(const std::vector<NodeIdentity> &nodes);
 
 /// A summary with the time at which it arrived here.
@@ -38,7 +39,7 @@
 {
     DataCentreSummary m_summary;
     TimePoint m_receivedAt;
-    /// When the list of nodes it holds was made; the list is kept from summary to summary.
+    /// Time at which its list of nodes was created; the list is kept across summaries without one.
     WallMillis m_nodesMadeAt = 0;
 };
 
--- a/include/gypsumdale/fleet/drain.hpp
+++ b/include/gypsumdale/fleet/drain.hpp
@@ -33,62 +33,63 @@
 
 struct DrainSettings
 {
-    /// How long the process goes on accepting after readiness fails, so that the balancer's checks
-    /// notice first.
+    /// How long the process continues to accept after readiness fails, so that the load balancer's
+    /// health checks notice first.
     Duration m_balancerWait = std::chrono::seconds(5);
-    /// The time budget where no notice gives a deadline.
+    /// Time budget if no notice contains a deadline.
     Duration m_budget = std::chrono::seconds(60);
-    /// Time kept at the end for closing: last answers' bytes, records, goodbyes.
+    /// Time reserved at the end for closing: last bytes of answers, records and final reports.
     Duration m_closeReserve = std::chrono::milliseconds(500);
-    /// Time that handing jobs over to other nodes may take; it starts this long before closing.
+    /// Time reserved for the hand-over of jobs to other nodes; it starts this long before closing.
     Duration m_handOverReserve = std::chrono::seconds(5);
 };
 
-/// What the process still has to finish.
+/// Work that the process still has to finish.
 struct UnfinishedWork
 {
     std::size_t m_requests = 0;
     /// Durable jobs that this node owns and that no other node has taken over.
     std::size_t m_jobs = 0;
-    /// Whether a caller is connected, or may be yet: it may bring a request any moment, so that the
-    /// process doesn't end; an idle connection is nothing that is cut at the deadline.
+    /// Whether a caller is connected or may still connect. It may send a request at any moment, so
+    /// the process doesn't end; an idle connection doesn't count as work that is cut at the
+    /// deadline.
     bool m_hasCallers = false;
 
     bool isEmpty() const { return m_requests == 0 && m_jobs == 0; }
     friend bool operator==(const UnfinishedWork &, const UnfinishedWork &) = default;
 };
 
-/// Let /readyz fail and tell the peers (Membership::setDraining). Go on accepting and serving;
-/// answers on kept-alive connections ask the caller to close.
+/// Makes /readyz fail and notifies the peers (Membership::setDraining). The process continues to
+/// accept and serve; answers on kept-alive connections ask the caller to close.
 struct FailReadiness
 {
     std::string m_reason;
 };
-/// Stop accepting connections; new requests on open ones are refused as not run (Draining).
+/// Stops accepting connections; new requests on open ones are refused as not run (Draining).
 struct StopAccepting
 {
     std::string m_reason;
 };
-/// Hand the jobs to other nodes, each with its progress. Streams that callers read go on until
-/// theirs is handed over.
+/// Hands the jobs over to other nodes, each with its progress. Streams that callers read continue
+/// until their job is handed over.
 struct HandOverJobs
 {
     TimePoint m_until;
     std::string m_reason;
 };
-/// The time is up: close what is left. Each cut request must be logged and counted, each job left
-/// behind be named; this command's numbers are the report.
+/// Closes what is unfinished at the deadline. Each cut request must be logged and counted, and each
+/// remaining job named; the numbers in this command are the report.
 struct CutRemaining
 {
     UnfinishedWork m_work;
     std::string m_reason;
 };
-/// Send the last records and goodbyes, close idle connections, then call closed().
+/// Sends the last records and final reports, closes idle connections, then calls closed().
 struct CloseConnections
 {
     std::string m_reason;
 };
-/// Leave the process. The work that was cut is nothing after a graceful end.
+/// Ends the process. After a graceful end, no work was cut.
 struct ExitProcess
 {
     UnfinishedWork m_cut;
@@ -99,9 +100,9 @@
                                   CloseConnections, ExitProcess>;
 using DrainCommands = std::vector<DrainCommand>;
 
-/// The graceful shutdown of this process: Serving, NotReady, Draining, Closing, Done. Nothing in
-/// flight is cut while the deadline allows, and what is cut is reported. A later cause may bring
-/// the deadline nearer, never push it out.
+/// Graceful shutdown of this process: Serving, NotReady, Draining, Closing, Done. Nothing in flight
+/// is cut before the deadline, and what is cut is reported. A later cause may move the deadline
+/// closer, but never further away.
 class Drain
 {
 public:
@@ -109,27 +110,28 @@
         : m_settings(settings)
     {}
 
-    /// Begins the shutdown, or tells a running one of a further cause. The deadline is when the VM
-    /// goes; without one, the budget counts from now. Constant.
+    /// Begins the shutdown, or adds a cause to one that is in progress. The deadline is the time at
+    /// which the VM ends; without one, the budget counts from now. Complexity: constant.
     DrainCommands begin(DrainCause cause, std::optional<TimePoint> deadline, TimePoint now);
 
-    /// Says what is unfinished; call it before tick whenever it changed. Constant.
+    /// Sets the unfinished work; to be called before tick whenever it changed. Complexity:
+    /// constant.
     void setUnfinished(UnfinishedWork work) { m_work = work; }
 
-    /// Everything was closed; the process may end before its deadline.
+    /// Records that everything is closed, so that the process may end before its deadline.
     DrainCommands closed(TimePoint now);
 
-    /// Moves on to `now`: call it every 50 ms or so while draining. Constant.
+    /// Advances to `now`; to be called about every 50 ms while draining. Complexity: constant.
     DrainCommands tick(TimePoint now);
 
     DrainPhase phase() const { return m_phase; }
     bool isReady() const { return m_phase == DrainPhase::Serving; }
-    /// Whether new connections and requests are taken.
+    /// Returns whether new connections and requests are accepted.
     bool isAccepting() const
     {
         return m_phase == DrainPhase::Serving || m_phase == DrainPhase::NotReady;
     }
-    /// When the process must be gone; nothing while serving.
+    /// Returns the time at which the process must have ended; nothing while serving.
     std::optional<TimePoint> deadline() const { return m_deadline; }
     const std::string &reason() const { return m_reason; }
 
--- a/include/gypsumdale/fleet/heartbeat_pacing.hpp
+++ b/include/gypsumdale/fleet/heartbeat_pacing.hpp
@@ -6,23 +6,24 @@
 
 namespace gypsumdale {
 
-/// Which node of a pair starts their exchanges; the other one does only if nothing comes.
+/// Which node of a pair starts their exchanges; the other one does so only if no heartbeat arrives.
 enum class HeartbeatRole { Initiator, Responder };
 
-/// How often heartbeats go out: as often as the budget for their bytes allows, for as many peers as
-/// there are.
+/// Computes the interval of heartbeats: the shortest one that the byte budget allows for the
+/// current number of peers.
 class HeartbeatPacing
 {
 public:
     explicit HeartbeatPacing(const MembershipSettings &settings);
 
-    /// The size of a heartbeat as sent. Constant.
+    /// Records the size of a sent heartbeat, in bytes. Complexity: constant.
     void recordBytes(std::size_t bytes);
-    /// Sets how many peers heartbeats go to, from which the interval follows.
+    /// Sets the number of peers that receive heartbeats, and updates the interval accordingly.
     void setPeers(std::size_t peers);
     Duration interval() const { return m_interval; }
 
-    /// How long after the last exchange with a node in this state the next one is due.
+    /// Returns the time after the last exchange with a node in this state at which the next one is
+    /// due.
     Duration dueAfter(HeartbeatRole role, NodeState state) const;
 
 private:
@@ -33,7 +34,7 @@
     Duration m_interval;
 };
 
-/// Which of the two this node is; the other one comes to the opposite result.
+/// Returns the role of this node; the other node computes the opposite one.
 HeartbeatRole heartbeatRole(const NodeId &self, const NodeId &other);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/leaving_notice.hpp
+++ b/include/gypsumdale/fleet/leaving_notice.hpp
@@ -19,9 +19,9 @@
         {LeavingCause::OperatorDrain, "operator-drain"},
 }};
 
-/// That a VM, all VMs of a zone, or one upstream must get no new work any more. Exactly one of
-/// m_vm, m_zone and m_upstream is set. Made by the functions below, so that every node gives the
-/// same notice the same id.
+/// Notice that a VM, all VMs of a zone, or one upstream must get no new work. Exactly one of m_vm,
+/// m_zone and m_upstream is set. Created by the functions below, so that every node assigns the
+/// same id to the same notice.
 struct LeavingNotice
 {
     std::string m_id;
@@ -29,19 +29,19 @@
     VmId m_vm;
     DataCentreId m_zone;
     UpstreamId m_upstream;
-    /// The incarnation of the upstream that an operator drains.
+    /// Incarnation of the upstream that an operator drains.
     Incarnation m_incarnation = 0;
-    /// When the VMs will be gone; 0 if nobody said.
+    /// Time at which the VMs end; 0 if unknown.
     WallMillis m_deadline = 0;
-    /// The cloud's number of the notice, or the time of the drain.
+    /// The cloud's sequence number of the notice, or the time of the drain.
     std::int64_t m_sequence = 0;
 };
 
-/// From an entry of the cloud's notices; an empty vm means the whole zone.
+/// Creates a notice from an entry of the cloud's notices; an empty vm means the whole zone.
 LeavingNotice reclaimNotice(VmId vm, DataCentreId zone, WallMillis deadline, std::int64_t sequence);
-/// From an operator's drain of one upstream in its present incarnation.
+/// Creates a notice from an operator's drain of one upstream in its current incarnation.
 LeavingNotice drainNotice(UpstreamId upstream, Incarnation incarnation, WallMillis at);
-/// From the VM list, which shows the VM as leaving.
+/// Creates a notice from the VM list, which shows the VM as leaving.
 LeavingNotice listedLeavingNotice(VmId vm);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/membership.hpp
+++ b/include/gypsumdale/fleet/membership.hpp
@@ -15,88 +15,96 @@
 
 namespace gypsumdale {
 
-/// Which nodes there are and which of them can be reached. The nodes of the own data centre keep a
-/// full mesh of heartbeats, request and answer; of each other data centre the node that rendezvous
-/// hashing prefers exchanges summaries with one node over there and spreads what it gets.
+/// Tracks which nodes exist and which of them are reachable. The nodes of the own data centre keep
+/// a full mesh of heartbeats, request and answer. For each other data centre, the node that
+/// rendezvous hashing selects exchanges summaries with one node there and forwards the summaries
+/// that it receives.
 ///
-/// Silence makes a node suspect. It is held for dead only after a longer silence that another live
-/// node of the data centre confirms, or when the VM list no longer shows it. Dead holds for an
-/// incarnation: a node that hears that it was held for dead raises its own. Time in which this
-/// process itself did not run does not count as silence.
+/// Silence makes a node suspect. It counts as dead only after a longer silence that another live
+/// node of the data centre confirms, or when the VM list no longer shows it. Dead is final for an
+/// incarnation: a node that learns that it counted as dead raises its own incarnation. Time in
+/// which this process itself did not run does not count as silence.
 ///
-/// The parts: NodeStateTracker holds what is believed of one node, ActiveTimeClock the time that
-/// silence is measured in, HeartbeatPacing how often heartbeats go out, SummaryTable and
-/// SummarySender what data centres tell each other.
+/// Components: NodeStateTracker tracks the state of one node, ActiveTimeClock measures silence,
+/// HeartbeatPacing computes the interval of heartbeats, SummaryTable and SummarySender manage the
+/// summaries that data centres exchange.
 ///
-/// Single-threaded; give each heartbeat that arrives to onHeartbeat before tick is called next.
+/// Single-threaded; each received heartbeat must be passed to onHeartbeat before the next call of
+/// tick.
 class Membership
 {
 public:
     explicit Membership(MembershipSettings settings, TimePoint now);
 
-    /// Moves on to `now`: call it every 50 ms or so. Linear in the nodes of the data centre.
+    /// Advances to `now`; to be called about every 50 ms. Complexity: linear in the number of nodes
+    /// of the data centre.
     MembershipCommands tick(TimePoint now, WallMillis wallNow);
 
-    /// What arriving heartbeats and answers leave behind: whether the content is newer than what
-    /// was known of the sender (if not, the rest of the heartbeat must be ignored too), and
-    /// commands.
+    /// Result of a received heartbeat or answer: whether its content is newer than what was known
+    /// of the sender (if not, the rest of the heartbeat must be ignored too), and commands.
     struct Received
     {
         bool m_isFresh = false;
         MembershipCommands m_commands;
     };
 
-    /// Takes in a heartbeat that another node sent first. Linear in its content.
+    /// Handles a heartbeat that another node initiated. Complexity: linear in its content.
     Received onHeartbeat(const MembershipMessage &message, TimePoint now);
 
-    /// Takes in the answer to a heartbeat. Linear in its content.
+    /// Handles the answer to a heartbeat. Complexity: linear in its content.
     Received onReply(const MembershipMessage &message, TimePoint now);
 
-    /// Makes the answer to a heartbeat that onHeartbeat took in.
+    /// Creates the answer to a heartbeat that was passed to onHeartbeat.
     MembershipMessage replyTo(const MembershipMessage &message, TimePoint now, WallMillis wallNow);
 
-    /// A heartbeat could not be sent or was not answered in time: the next summary for that data
-    /// centre goes to another of its nodes. Says nothing about death.
+    /// Records that a heartbeat could not be sent or was not answered in time: the next summary for
+    /// that data centre goes to another of its nodes. Has no effect on the node's state.
     void onSendFailed(const NodeId &node);
 
-    /// Takes in the cloud's list of the system's own VMs. A node that was listed, is not any more
-    /// and is silent counts as dead; a node that is heard stays whatever the list says.
+    /// Applies the cloud's list of the system's own VMs. A node that was listed before, is no
+    /// longer listed and is silent counts as dead; a node whose heartbeats arrive stays whatever
+    /// the list shows.
     MembershipCommands onVmList(const std::vector<ListedNode> &listed, TimePoint now);
 
-    /// A reclaim notice concerns the VM a node runs on: it is leaving, for this incarnation.
+    /// Marks a node as leaving for its current incarnation, as a reclaim notice concerns its VM.
     MembershipCommands markLeaving(const NodeId &node, std::string reason, TimePoint now);
 
-    /// Tells the others that this process is leaving. Never undone.
+    /// Announces to the others that this process is leaving. Never undone.
     void setDraining() { m_isDraining = true; }
 
-    /// What the own data centre can take on; goes into its summary.
+    /// Sets the capacity of the own data centre, which is part of its summary.
     void setCapacity(std::vector<ServiceCapacity> services) { m_services = std::move(services); }
 
-    /// The size of a heartbeat as sent, from which the interval follows. Constant.
+    /// Records the size of a sent heartbeat, from which the interval is computed. Complexity:
+    /// constant.
     void recordHeartbeatBytes(std::size_t bytes) { m_pace.recordBytes(bytes); }
 
     const NodeIdentity &self() const { return m_settings.m_self; }
     bool isDraining() const { return m_isDraining; }
 
-    /// The time between exchanges with a node, as the number of nodes and the budget make it.
+    /// Returns the time between exchanges with a node, as computed from the number of nodes and the
+    /// budget.
     Duration heartbeatInterval() const { return m_pace.interval(); }
 
-    /// Returns all known nodes but the own, own data centre's first. Linear.
+    /// Returns all known nodes except this one, those of the own data centre first. Complexity:
+    /// linear.
     std::vector<NodeView> nodes() const;
     const NodeView *find(const NodeId &node) const;
 
-    /// Names of the nodes of the own data centre that duties are shared among: itself and the alive
-    /// ones, without those that are leaving as long as others are left. Duties are such that two
-    /// holders at a time do no harm. In order of names. Linear.
+    /// Returns the names of the nodes of the own data centre that share duties: this one and the
+    /// alive ones, without those that are leaving unless no others remain. Duties are designed so
+    /// that two holders at a time do no harm. Sorted by name. Complexity: linear.
     std::vector<NodeId> dutyNodes() const;
 
-    /// Nodes of a data centre that are alive and not leaving, without the own one. Linear.
+    /// Returns the nodes of a data centre that are alive and not leaving, except this one.
+    /// Complexity: linear.
     std::vector<NodeIdentity> availableNodes(const DataCentreId &dataCentre) const;
 
-    /// Other data centres that nodes are known of. Linear in nodes.
+    /// Returns the other data centres of which nodes are known. Complexity: linear in the number of
+    /// nodes.
     std::vector<DataCentreId> otherDataCentres() const;
 
-    /// The latest summary of each other data centre.
+    /// Returns the latest summary of each other data centre.
     const std::map<DataCentreId, ReceivedSummary> &summaries() const { return m_summaries.all(); }
 
 private:
@@ -104,7 +112,7 @@
     {
         NodeStateTracker m_tracker;
         TimePoint m_lastSent;
-        /// What this node last spread to the peer.
+        /// Summaries that this node last sent to the peer.
         SentSummaries m_sentSummaries;
         std::int64_t m_nodesDigest = 0;
         TimePoint m_nodesSentAt;
@@ -120,13 +128,14 @@
                          MembershipCommands &commands);
     void takeSelfSuspicion(const MembershipMessage &message, MembershipCommands &commands);
     void detectSilence(Peer &peer, TimePoint now, MembershipCommands &commands);
-    /// The node that cannot hear the peer either; nothing if there is none.
+    /// Returns a live node that does not receive the peer's heartbeats either; nothing if there is
+    /// none.
     std::optional<NodeId> witnessAgainst(const NodeIdentity &silent) const;
     bool isHeartbeatDue(const Peer &peer, TimePoint now) const;
-    /// Of the own data centre, without the dead ones.
+    /// Returns the number of nodes of the own data centre that are not dead, without this one.
     std::size_t meshSize() const;
     Duration summaryPatience() const;
-    /// Tells whether a data centre that is heard no longer lists the node.
+    /// Returns whether a reachable data centre no longer lists the node.
     bool isLeftOut(const Peer &peer, TimePoint now) const;
     void forgetOldDead(TimePoint now);
     void sendSummaries(TimePoint now, WallMillis wallNow, MembershipCommands &commands);
--- a/include/gypsumdale/fleet/membership_message.hpp
+++ b/include/gypsumdale/fleet/membership_message.hpp
@@ -11,7 +11,7 @@
 
 namespace gypsumdale {
 
-/// A node's word that it cannot hear another one, or holds it for dead.
+/// A node's report that it receives nothing from another one, or counts it as dead.
 struct NodeSuspicion
 {
     NodeId m_node;
@@ -25,25 +25,25 @@
     NodeIdentity m_from;
     std::int64_t m_sequence = 0;
     bool m_draining = false;
-    /// Over the names of the data centre's nodes; the lists are exchanged while they differ.
+    /// Digest over the data centre's nodes; the lists are exchanged while the digests differ.
     std::int64_t m_nodesDigest = 0;
     std::optional<std::vector<NodeIdentity>> m_nodes;
     std::vector<NodeSuspicion> m_suspicions;
     std::vector<DataCentreSummary> m_summaries;
-    /// Of the receiver's data centre, between data centres: the digest of the list of its nodes
-    /// that the sender has.
+    /// Digest of the list of the receiver's data centre that the sender has; between data centres
+    /// only.
     std::int64_t m_receiverNodesDigest = 0;
 };
 
-/// Send a heartbeat and give the answer to Membership::onReply.
+/// Sends a heartbeat; its answer is passed to Membership::onReply.
 struct SendHeartbeat
 {
     NodeIdentity m_to;
     MembershipMessage m_content;
 };
 
-/// A node's state is another one now, or it has begun to leave: for logs, the explain history, and
-/// whoever chooses nodes.
+/// Reports that a node changed its state or started leaving: for logs, the explain history, and
+/// components that select nodes.
 struct NodeStateChanged
 {
     NodeId m_node;
@@ -54,7 +54,7 @@
     std::string m_reason;
 };
 
-/// The own incarnation had to grow, since others hold the last one for dead.
+/// Reports that the own incarnation was raised, since others count the last one as dead.
 struct OwnIncarnationRaised
 {
     Incarnation m_incarnation = 0;
@@ -63,7 +63,7 @@
 using MembershipCommand = std::variant<SendHeartbeat, NodeStateChanged, OwnIncarnationRaised>;
 using MembershipCommands = std::vector<MembershipCommand>;
 
-/// An entry VM of the system as the cloud's lagging list shows it.
+/// An entry VM of the system as shown in the cloud's list, which lags.
 struct ListedNode
 {
     NodeIdentity m_identity;
--- a/include/gypsumdale/fleet/membership_settings.hpp
+++ b/include/gypsumdale/fleet/membership_settings.hpp
@@ -8,30 +8,30 @@
 
 namespace gypsumdale {
 
-/// How a node keeps in touch with the others. Made by MembershipSettingsBuilder.
+/// How a node exchanges heartbeats with the others. Created by MembershipSettingsBuilder.
 struct MembershipSettings
 {
     NodeIdentity m_self;
     std::vector<NodeIdentity> m_seeds;
-    /// The shortest time between two exchanges with the same node.
+    /// Minimum time between two exchanges with the same node.
     Duration m_heartbeatInterval = std::chrono::milliseconds(200);
     Duration m_longestInterval = std::chrono::seconds(5);
-    /// What heartbeats may cost, sent and received together; the interval grows to keep to it.
+    /// Byte budget of heartbeats, sent and received together; the interval grows to stay within it.
     double m_bytesPerSecond = 12000;
     /// Silence, in heartbeat intervals, after which a node is suspect, and after which it may be
-    /// held for dead.
+    /// declared dead.
     int m_suspectAfter = 4;
     int m_deadAfter = 12;
-    /// The most of a gap between two ticks that counts as listening; see Membership.
+    /// Maximum part of a gap between two ticks that counts as running time; see ActiveTimeClock.
     Duration m_longestTickGap = std::chrono::milliseconds(250);
     Duration m_summaryInterval = std::chrono::seconds(2);
-    /// After how many summaries the list of nodes is sent again although it did not change.
+    /// Number of summaries after which the list of nodes is sent again although it did not change.
     int m_summariesPerNodeList = 10;
-    /// How long a dead node that neither settings nor the VM list name is remembered.
+    /// How long a dead node is retained that neither the settings nor the VM list name.
     Duration m_forgetAfter = std::chrono::minutes(10);
 };
 
-/// Builds MembershipSettings; whatever is not set keeps its default.
+/// Builds MembershipSettings; unset fields keep their defaults.
 class MembershipSettingsBuilder
 {
 public:
--- a/include/gypsumdale/fleet/node.hpp
+++ b/include/gypsumdale/fleet/node.hpp
@@ -9,10 +9,10 @@
 
 namespace gypsumdale {
 
-/// Grows whenever a process of that name starts anew, or has to show that it is not dead.
+/// Increases whenever a process of that name starts, or has to show that it is not dead.
 using Incarnation = std::int64_t;
 
-/// What is believed of a node's process by what is heard of it.
+/// State of a node's process as concluded from its messages.
 enum class NodeState { Alive, Suspect, Dead };
 
 inline constexpr NameTable<NodeState, 3> nodeStateNames = {{
@@ -21,7 +21,8 @@
         {NodeState::Dead, "dead"},
 }};
 
-/// Who a node is and where its peers reach it. The incarnation is 0 until the node was heard.
+/// Identity of a node and the address at which its peers reach it. The incarnation is 0 until a
+/// message of the node arrived.
 struct NodeIdentity
 {
     NodeId m_node;
@@ -32,24 +33,25 @@
     Incarnation m_incarnation = 0;
 };
 
-/// What this node holds of another one. Of nodes in other data centres only the summaries tell:
-/// m_lastReceivedAt is then the summary's time.
+/// What this node knows of another one. Nodes in other data centres are known from summaries only:
+/// m_lastReceivedAt is then the time of the summary.
 struct NodeView
 {
     NodeIdentity m_identity;
     NodeState m_state = NodeState::Suspect;
-    /// It drains, or its VM is reclaimed. Holds for the incarnation, whatever is heard of it.
+    /// The node drains, or its VM is reclaimed. Permanent for the incarnation, whatever else is
+    /// received from it.
     bool m_isLeaving = false;
     TimePoint m_stateSince;
     TimePoint m_lastReceivedAt;
     std::string m_reason;
 
-    /// Whether it is heard and here to stay, so that it may be given new work.
+    /// Returns whether the node is alive and not leaving, so that it may get new work.
     bool isOpen() const { return m_state == NodeState::Alive && !m_isLeaving; }
 };
 
-/// Names a state for logs and operators: "leaving" of a node that is heard, "suspect, leaving" of
-/// one that is not.
+/// Returns the name of a state for logs and operators: "leaving" for an alive node, "suspect,
+/// leaving" for a suspect one.
 inline std::string nodeStateText(NodeState state, bool isLeaving)
 {
     std::string name(nameIn(nodeStateNames, state));
--- a/include/gypsumdale/fleet/node_state_tracker.hpp
+++ b/include/gypsumdale/fleet/node_state_tracker.hpp
@@ -8,24 +8,26 @@
 
 namespace gypsumdale {
 
-/// What a heartbeat was to one that knows the sender.
+/// How a heartbeat relates to those already received from its sender.
 enum class HeartbeatFreshness {
-    /// Older than one before, or of an incarnation that is held for dead.
+    /// Older than an earlier one, or from an incarnation that is dead.
     None,
     Fresh,
     /// The first one of a new incarnation.
     FromNewProcess,
 };
 
-/// What this node believes of another one, and why: its state with all that moves it.
+/// Tracks the state of another node with everything that changes it.
 ///
-/// Dead and leaving hold for an incarnation. Silence is measured in listening time, which the
-/// caller gives (see ActiveTimeClock). Each change of state is one NodeStateChanged.
+/// Dead and leaving are permanent for an incarnation. Silence is measured in the running time of
+/// this process, which the caller passes in (see ActiveTimeClock). Each state change results in one
+/// NodeStateChanged.
 class NodeStateTracker
 {
 public:
     NodeStateTracker() = default;
-    /// A node not heard yet, since the listening time given.
+    /// Creates the state of a node of which no message has arrived. `listened` is the current
+    /// running time.
     NodeStateTracker(const NodeIdentity &identity, Duration activeTime, TimePoint now);
 
     const NodeView &view() const { return m_view; }
@@ -36,33 +38,35 @@
     bool isOpen() const { return m_view.isOpen(); }
     bool isDead() const { return m_view.m_state == NodeState::Dead; }
     Duration silence(Duration activeTime) const { return activeTime - m_heardAt; }
-    /// When a heartbeat of it last arrived.
+    /// Returns the time at which its last heartbeat arrived.
     TimePoint lastExchange() const { return m_lastExchange; }
 
-    /// Takes in the sender's own part of a heartbeat.
+    /// Applies the sender's own part of a heartbeat.
     HeartbeatFreshness recordHeartbeat(const MembershipMessage &message, Duration activeTime,
                                        TimePoint now, MembershipCommands &commands);
-    /// Its data centre's summary names it so; true if it is a new process.
+    /// Applies the node's entry in a summary of its data centre. Returns whether it is a new
+    /// process.
     bool recordSummaryEntry(const NodeIdentity &identity, Duration activeTime, TimePoint now,
                             MembershipCommands &commands);
 
-    /// Tells whether this node cannot hear `other` in its incarnation, by its last heartbeat.
+    /// Returns whether this node's last heartbeat reported that it receives nothing from `other` in
+    /// its incarnation.
     bool suspects(const NodeIdentity &other) const;
 
-    /// Whether the cloud's last list shows it.
+    /// Sets whether the cloud's last list shows the node.
     void setListed(bool isListed);
     bool isListed() const { return m_isListed; }
-    /// Its VM goes. Nothing if it is dead already.
+    /// Marks the node as leaving, as its VM is going away. Does nothing if the node is dead.
     void leave(std::string reason, TimePoint now, MembershipCommands &commands);
 
-    /// What silence alone changes for a node of the own data centre; `suspectAfter` is the silence
-    /// that makes a suspect.
+    /// Updates the state of a node of the own data centre by its silence; a silence of
+    /// `suspectAfter` makes it suspect.
     void detectSilence(Duration suspectAfter, Duration activeTime, TimePoint now,
                        MembershipCommands &commands);
-    /// The same for one of another data centre, whose summaries fail to come.
+    /// Updates the state of a node of another data centre, whose summaries don't arrive.
     void detectRemoteSilence(Duration suspectAfter, Duration activeTime, TimePoint now,
                              MembershipCommands &commands);
-    /// Another node cannot hear it either.
+    /// Marks the node as dead, as `witness` receives nothing from it either.
     void confirmDead(const NodeId &witness, Duration activeTime, TimePoint now,
                      MembershipCommands &commands);
 
@@ -75,11 +79,11 @@
 
     NodeView m_view;
     std::int64_t m_sequence = 0;
-    /// In listening time.
+    /// Running time of this process at the last sign of life.
     Duration m_heardAt{};
     TimePoint m_lastExchange;
     std::vector<NodeSuspicion> m_suspicions;
-    /// Listed by the cloud once, and by its last list.
+    /// Whether the cloud's list has ever shown the node, and whether its last one does.
     bool m_wasListed = false;
     bool m_isListed = false;
 };
--- a/include/gypsumdale/fleet/notice_table.hpp
+++ b/include/gypsumdale/fleet/notice_table.hpp
@@ -11,48 +11,49 @@
 
 namespace gypsumdale {
 
-/// What a notice is to one that has a book of those before.
+/// How a notice relates to those already received.
 enum class NoticeStatus {
-    /// A copy of one that is kept, or of one that ran out here.
+    /// Copy of a retained notice, or of one that expired here.
     Known,
-    /// It came long after its deadline.
+    /// Received long after its deadline.
     Late,
     Fresh,
 };
 
-/// What a kept notice says of an upstream that shows up after it.
+/// Effect of a retained notice on an upstream that appears after it.
 struct NoticeEffect
 {
     LeavingNotice m_notice;
-    /// Nothing if the notice names the upstream or its VM: that one leaves. Otherwise its zone was
-    /// reclaimed a moment ago: it is held back until then.
+    /// Nothing if the notice names the upstream or its VM: the upstream is leaving. Otherwise its
+    /// zone was reclaimed shortly before, and it gets no work until this time.
     std::optional<TimePoint> m_heldUntil;
 };
 
-/// The leaving notices that came in, each kept until some time after its deadline: a VM that the
-/// lagging list shows only then is still concerned, and late copies are recognised. One that ran
-/// out is remembered by its id for as long again, since a peer that kept it longer must not bring
-/// it back.
+/// The received leaving notices, each retained until some time after its deadline: it still applies
+/// to a VM that the lagging list shows only then, and late copies are recognised. The id of an
+/// expired notice is retained for the same time again, since a peer that retained it longer must
+/// not reintroduce it.
 class NoticeTable
 {
 public:
-    /// `listLag` is how long the VM list may lag, `retention` how long after its deadline a notice
-    /// is kept.
+    /// `listLag` is the maximum lag of the VM list, `retention` the time after its deadline for
+    /// which a notice is retained.
     NoticeTable(Duration listLag, Duration retention);
 
-    /// Keeps the notice unless it is known. Logarithmic.
+    /// Adds the notice unless it is known. Complexity: logarithmic.
     NoticeStatus take(const LeavingNotice &notice, TimePoint now, WallMillis wallNow);
 
-    /// Lets run out what is old. Linear.
+    /// Removes expired notices and ids. Complexity: linear.
     void expire(TimePoint now);
 
     std::vector<LeavingNotice> all() const;
 
-    /// Over the ids of the kept notices, with which peers find out that one of them missed some.
+    /// Returns a digest over the ids of the retained notices, by which peers detect that one of
+    /// them missed some.
     std::int64_t digest() const { return m_digest; }
 
-    /// What the kept notices say of an upstream that shows up now, in the order of their ids.
-    /// Linear.
+    /// Returns the effects of the retained notices on an upstream that appears now, ordered by
+    /// notice id. Complexity: linear.
     std::vector<NoticeEffect> effectsOn(const UpstreamDeclaration &declaration,
                                         TimePoint now) const;
 
@@ -60,7 +61,7 @@
     struct Kept
     {
         LeavingNotice m_notice;
-        /// Until when a VM of the zone that shows up is held back.
+        /// Time until which a VM of the zone that appears gets no work.
         TimePoint m_heldUntil;
         TimePoint m_expiresAt;
     };
@@ -68,7 +69,7 @@
     Duration m_listLag;
     Duration m_retention;
     std::map<std::string, Kept> m_kept;
-    /// Ids of notices that ran out, with the time to forget them.
+    /// Ids of expired notices, with the time at which they are removed.
     std::map<std::string, TimePoint> m_expired;
     std::int64_t m_digest = 0;
 };
--- a/include/gypsumdale/fleet/observation_schedule.hpp
+++ b/include/gypsumdale/fleet/observation_schedule.hpp
@@ -7,20 +7,20 @@
 /// Whether a node is the first or the second owner of an upstream, by rendezvous hashing.
 enum class OwnerRank { First, Second };
 
-/// When an owner that watches an upstream tells the others of it: the first one tells of notable
-/// changes and again each interval; the second one, which would only repeat that, tells of changes
-/// of state alone, unless the first one fell silent.
+/// Determines when an owner that probes an upstream reports it to the others. The first owner
+/// reports notable changes, and repeats the report after each interval. The second owner would only
+/// repeat that, so it reports state changes alone, unless the first one is silent.
 class ObservationSchedule
 {
 public:
-    /// What was last told.
+    /// Returns the last reported state.
     UpstreamState state() const { return m_state; }
 
-    /// The first owner spoke here.
+    /// Records that a report of the first owner arrived.
     void recordFirstOwnerReport(TimePoint now) { m_firstOwnerSpokeAt = now; }
 
-    /// Tells whether the word goes out now, and notes it as told if so. `interval` is the longest
-    /// time between two words, `probeInterval` that between two probes.
+    /// Returns whether a report is due now, and if so records it as sent. `interval` is the maximum
+    /// time between two reports, `probeInterval` the one between two probes.
     bool recordIfDue(OwnerRank rank, UpstreamState state, const UpstreamLoad &load,
                      Duration interval, Duration probeInterval, TimePoint now);
 
--- a/include/gypsumdale/fleet/peer_exchange.hpp
+++ b/include/gypsumdale/fleet/peer_exchange.hpp
@@ -12,8 +12,8 @@
 
 namespace gypsumdale {
 
-/// Send a request to a peer and give its answer to PeerExchange::onReply (heartbeats only; other
-/// requests are answered Accepted), or call onSendFailed.
+/// Sends a request to a peer; its answer is passed to PeerExchange::onReply (heartbeats only; other
+/// requests are answered with Accepted), a failure to onSendFailed.
 struct SendToPeer
 {
     NodeIdentity m_to;
@@ -29,7 +29,7 @@
     std::int64_t m_tokens = 0;
 };
 
-/// The configuration a peer holds, from its heartbeat.
+/// Digest of a peer's configuration, from its heartbeat.
 struct ConfigDigestReceived
 {
     NodeId m_node;
@@ -42,21 +42,21 @@
                      UpstreamStateChanged, TokensReported, ConfigDigestReceived>;
 using ExchangeCommands = std::vector<ExchangeCommand>;
 
-/// Joins membership, upstreams, tokens and the digest of the configuration into the heartbeats of
-/// one node. The daemon drives this class; Membership and UpstreamTable are read through it.
+/// Combines membership, upstreams, tokens and the configuration digest into the heartbeats of one
+/// node. The daemon drives this class; Membership and UpstreamTable are read through it.
 ///
-/// Differences travel against a version that the receiver names: each heartbeat says how far its
-/// sender has those of the receiver, in which incarnation. A lost message therefore costs a
-/// repetition and never a difference.
+/// Deltas are sent relative to a version that the receiver names: each heartbeat contains the
+/// versions up to which its sender has received the changes of the receiver, and in which
+/// incarnation. A lost message therefore causes a repetition but never a gap.
 class PeerExchange
 {
 public:
     PeerExchange(MembershipSettings membership, UpstreamTableSettings upstreams, TimePoint now);
 
-    /// Moves all parts on to `now`: call it every 50 ms or so.
+    /// Advances all components to `now`; to be called about every 50 ms.
     ExchangeCommands tick(TimePoint now, WallMillis wallNow);
 
-    /// What arrived from a peer, with the answer to send.
+    /// Result of a received request, with the answer to send.
     struct Answered
     {
         wire::PeerReplyBody m_reply;
@@ -64,19 +64,19 @@
     };
     Answered onHeartbeat(const wire::Heartbeat &heartbeat, TimePoint now, WallMillis wallNow);
     ExchangeCommands onReply(const wire::Heartbeat &heartbeat, TimePoint now, WallMillis wallNow);
-    /// Notices from a peer, asked for or not.
+    /// Handles notices from a peer, requested or not.
     ExchangeCommands onNotices(const wire::LeavingNotices &notices, const NodeId &from,
                                TimePoint now, WallMillis wallNow);
     void onSendFailed(const NodeId &node) { m_membership.onSendFailed(node); }
 
-    /// Notices from the cloud that this node read. Give all that one answer brought together: they
-    /// then go to each peer in one message.
+    /// Handles notices that this node read from the cloud. All notices of one answer must be passed
+    /// in one call: they are then sent to each peer in one message.
     ExchangeCommands onNotices(const std::vector<LeavingNotice> &notices, TimePoint now,
                                WallMillis wallNow);
     ExchangeCommands onNotice(const LeavingNotice &notice, TimePoint now, WallMillis wallNow);
-    /// An operator's drain of an upstream.
+    /// Drains an upstream on behalf of an operator.
     ExchangeCommands drainUpstream(const UpstreamId &upstream, TimePoint now, WallMillis wallNow);
-    /// The cloud's VM list: the system's own VMs and those of upstreams.
+    /// Applies the cloud's VM list: the system's own VMs and those of upstreams.
     ExchangeCommands onVmList(const std::vector<ListedNode> &nodes,
                               const std::vector<ListedUpstream> &upstreams, TimePoint now,
                               WallMillis wallNow);
@@ -89,7 +89,7 @@
                                      TimePoint now);
     ExchangeCommands onRequestSucceeded(const UpstreamId &upstream, TimePoint now);
 
-    /// Sets the tokens this node served to a member so far, a count that only grows.
+    /// Sets the number of tokens this node has served to a member, a count that only increases.
     void setOwnTokens(const MemberId &member, std::int64_t tokens);
     void setConfigDigest(const wire::ConfigDigest &digest) { m_config = digest; }
     void setInFlight(const UpstreamId &upstream, int count)
@@ -98,14 +98,14 @@
     }
     void setDraining() { m_membership.setDraining(); }
 
-    /// Says how many bytes a heartbeat took on the wire, as encoded.
+    /// Records the size of an encoded heartbeat, in bytes.
     void recordHeartbeatBytes(std::size_t bytes) { m_membership.recordHeartbeatBytes(bytes); }
 
     const Membership &membership() const { return m_membership; }
     const UpstreamTable &upstreams() const { return m_upstreams; }
 
 private:
-    /// How far this node and a peer have each other's differences.
+    /// Versions up to which this node and a peer have received each other's changes.
     struct PeerCursor
     {
         Incarnation m_incarnation = 0;
--- a/include/gypsumdale/fleet/probe_duty.hpp
+++ b/include/gypsumdale/fleet/probe_duty.hpp
@@ -7,7 +7,7 @@
 
 namespace gypsumdale {
 
-/// The nodes that probe an upstream, by rendezvous hashing; the first one speaks for it.
+/// The nodes that probe an upstream, by rendezvous hashing; the first one reports for it.
 class ProbeOwners
 {
 public:
@@ -22,21 +22,22 @@
     std::vector<NodeId> m_nodes;
 };
 
-/// How the nodes of the data centre share the probing of its upstreams, and how often this node
-/// probes those that fall to it: the more there are, the more rarely, so that the cost is bounded.
+/// Distributes the probing of upstreams among the nodes of the data centre, and determines how
+/// often this node probes its own share: the interval grows with their number, so that the cost is
+/// bounded.
 class ProbeDuty
 {
 public:
     explicit ProbeDuty(const UpstreamTableSettings &settings);
 
-    /// Returns false if they are the nodes already held.
+    /// Returns false if the nodes are unchanged.
     bool setNodes(const std::vector<NodeId> &nodes);
     ProbeOwners ownersOf(const UpstreamId &upstream) const;
 
-    /// Tells whether all nodes tell each other everything, instead of only the owners.
+    /// Returns whether all nodes report to all others, instead of to the owners only.
     bool isFullMesh() const { return m_nodes.size() <= m_fullMeshLimit; }
 
-    /// This node probes one upstream more, or one less.
+    /// Increments or decrements the number of upstreams that this node probes.
     void add() { ++m_owned; }
     void remove() { --m_owned; }
     Duration interval() const;
--- a/include/gypsumdale/fleet/rendezvous.hpp
+++ b/include/gypsumdale/fleet/rendezvous.hpp
@@ -9,17 +9,19 @@
 
 namespace gypsumdale {
 
-/// The weight of a node for a key: a hash of both that all processes compute alike. Linear in the
-/// names.
+/// Returns the weight of a node for a key: a hash of both that is the same in all processes.
+/// Complexity: linear in the length of the names.
 std::uint64_t rendezvousWeight(std::string_view key, const NodeId &node);
 
 /// Returns the `count` nodes with the highest weights for a key, best first; fewer if there are
-/// fewer. When a node joins or goes, only the keys it had or gets change hands. O(n log count).
+/// fewer. When a node is added or removed, only the keys that it gets or had change their owner.
+/// Complexity: O(n log count).
 std::vector<NodeId> rendezvousChoice(std::string_view key, const std::vector<NodeId> &nodes,
                                      std::size_t count);
 
-/// Tells whether a node is among the `count` chosen ones for a key, without building the list:
-/// what decides who watches the configuration, reads the VM list or holds a shard. Linear in nodes.
+/// Returns whether a node is among the `count` selected ones for a key, without building the list.
+/// Decides which node watches the configuration, reads the VM list or holds a shard. Complexity:
+/// linear in the number of nodes.
 bool isRendezvousChoice(std::string_view key, const std::vector<NodeId> &nodes, std::size_t count,
                         const NodeId &self);
 
--- a/include/gypsumdale/fleet/route_scope.hpp
+++ b/include/gypsumdale/fleet/route_scope.hpp
@@ -19,34 +19,34 @@
         {RemoteScope::WhenFull, "when-full"},
 }};
 
-/// Stay in the own data centre.
+/// Route within the own data centre.
 struct RouteOwn
 {};
-/// Go to one of these, the one with the most to spare first.
+/// Route to one of these data centres, ordered by free slots, most first.
 struct RouteRemote
 {
     std::vector<DataCentreId> m_dataCentres;
 };
-/// Nothing is left to route to; the text says why.
+/// No route is available; the text contains the reason.
 struct RouteUnavailable
 {
     std::string m_reason;
 };
 using RouteScope = std::variant<RouteOwn, RouteRemote, RouteUnavailable>;
 
-/// What the own data centre's upstreams of a service can take.
+/// Capacity of the own data centre's upstreams of a service.
 struct OwnCapacity
 {
-    /// One may get new work, live or suspect.
+    /// Whether one of them may get new work, live or suspect.
     bool m_hasOpen = false;
     bool m_hasLive = false;
-    /// A live one has a slot that is not taken, as far as known.
+    /// Whether a live one has a free slot, as far as known.
     bool m_hasFreeSlot = false;
 };
 
-/// Where a request for a service may go: the own data centre unless its upstreams are gone or, if
-/// the setting allows, full; then others by their summaries, of which those older than
-/// `longestAge` don't count. Linear in the summaries.
+/// Returns where a request for a service may go: the own data centre unless its upstreams are gone
+/// or, if the setting allows, full; otherwise others according to their summaries, ignoring those
+/// older than `longestAge`. Complexity: linear in the number of summaries.
 RouteScope chooseRouteScope(const OwnCapacity &own, const ServiceId &service, RemoteScope scope,
                             const std::map<DataCentreId, ReceivedSummary> &summaries,
                             Duration longestAge, TimePoint now);
--- a/include/gypsumdale/fleet/summary_table.hpp
+++ b/include/gypsumdale/fleet/summary_table.hpp
@@ -10,69 +10,71 @@
 
 namespace gypsumdale {
 
-/// From whom a summary came.
+/// Origin of a received summary.
 enum class SummarySource {
-    /// From a node of the data centre it is about: it is this node's to spread.
+    /// From a node of the data centre that it describes: this node has to forward it.
     DescribedDataCentre,
     /// From a node of the own data centre.
     OwnDataCentre,
 };
 
-/// When the summary, and the list of nodes, that were spread to a peer had been made.
+/// Creation times of the summary and the list of nodes that were sent to a peer.
 struct SentSummaryTimes
 {
     WallMillis m_madeAt = 0;
     WallMillis m_nodesMadeAt = 0;
 };
 
-/// What was last spread to one peer.
+/// Summaries that were last sent to one peer, by data centre.
 using SentSummaries = std::map<DataCentreId, SentSummaryTimes>;
 
-/// The latest summary of each other data centre, and which of them this node spreads.
+/// The latest summary of each other data centre, and which of them this node forwards.
 class SummaryTable
 {
 public:
-    /// A data centre without a summary for longer than `freshFor` is not heard.
+    /// A data centre without a summary for longer than `freshFor` is unreachable.
     explicit SummaryTable(Duration freshFor);
 
-    /// Returns false if the summary is no news. Its list of nodes may be taken all the same.
+    /// Returns false if the summary is superseded. Its list of nodes may be used nevertheless.
     bool take(const DataCentreSummary &summary, SummarySource source, TimePoint now);
 
     const std::map<DataCentreId, ReceivedSummary> &all() const { return m_held; }
-    /// Of a data centre whose summary was taken.
+    /// Returns the summary of a data centre; one must be present.
     const DataCentreSummary &of(const DataCentreId &dataCentre) const
     {
         return m_held.at(dataCentre).m_summary;
     }
-    /// Tells whether the data centre is heard.
+    /// Returns whether a recent summary of the data centre is present.
     bool isReachable(const DataCentreId &dataCentre, TimePoint now) const;
-    /// Over the list of nodes held of a data centre; 0 if there is none.
+    /// Returns the digest over the list of nodes of a data centre; 0 if there is none.
     std::int64_t nodesDigest(const DataCentreId &dataCentre) const;
 
-    /// What a peer of the own data centre was not told yet, noted as told. Lists of nodes go along
-    /// only where they are new. Linear in the data centres.
+    /// Returns the summaries that a peer of the own data centre was not sent yet, and records them
+    /// as sent. Lists of nodes are included only where they are new. Complexity: linear in the
+    /// number of data centres.
     std::vector<DataCentreSummary> unsentFor(SentSummaries &told) const;
 
 private:
     Duration m_freshFor;
     std::map<DataCentreId, ReceivedSummary> m_held;
-    /// Those whose summary came here directly.
+    /// Data centres whose summary was received from one of their own nodes.
     std::set<DataCentreId> m_toSpread;
 };
 
-/// The own summaries on their way to one other data centre.
+/// Schedule of the own summaries that are sent to one other data centre.
 class SummarySender
 {
 public:
-    /// Tells whether the next one is due, and begins the wait for the one after if so.
+    /// Returns whether the next summary is due, and if so starts the interval of the one after it.
     bool startIfDue(Duration interval, TimePoint now);
-    /// How many exchanges failed, which says whose turn it is over there.
+    /// Returns the number of failed exchanges, which determines the target node in the other data
+    /// centre.
     std::size_t failures() const { return m_failures; }
     void fail() { ++m_failures; }
-    /// The digest of this data centre's list that the other one said to have.
+    /// Sets the digest of the own data centre's list that the other one reported to have.
     void setRemoteNodesDigest(std::int64_t digest) { m_heldThere = digest; }
-    /// Counts a summary; tells whether the list of nodes goes along, as the other one has another
-    /// or none was sent in so many summaries.
+    /// Counts a summary. Returns whether it includes the list of nodes, as the other data centre
+    /// has a different one or none was sent in so many summaries.
     bool includesNodeList(std::int64_t digest, int summariesPerNodeList);
 
 private:
--- a/include/gypsumdale/fleet/upstream_key.hpp
+++ b/include/gypsumdale/fleet/upstream_key.hpp
@@ -6,9 +6,9 @@
 
 namespace gypsumdale {
 
-/// A 40-bit hash of an upstream's name, which stands for it between the nodes of a data centre: six
-/// bytes on the wire. Two of 1,100 names collide with a probability of about 5e-7; the table then
-/// leaves the second name without shared load and says so. Linear in the name.
+/// Returns a 40-bit hash of an upstream's name, which represents it between the nodes of a data
+/// centre: six bytes on the wire. Two of 1,100 names collide with a probability of about 5e-7; the
+/// second name then gets no shared load. Complexity: linear in the length of the name.
 std::int64_t upstreamKey(const UpstreamId &upstream);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/upstream_message.hpp
+++ b/include/gypsumdale/fleet/upstream_message.hpp
@@ -10,7 +10,7 @@
 
 namespace gypsumdale {
 
-/// Ask the upstream for its load; give the answer to onLoad or onProbeFailed.
+/// Requests the load of the upstream; the answer is passed to onLoad or onProbeFailed.
 struct ProbeUpstream
 {
     UpstreamId m_upstream;
@@ -18,15 +18,15 @@
     std::uint16_t m_port = 0;
 };
 
-/// A notice that is new here: tell every node of the own data centre at once, and, unless it came
-/// from another data centre, two nodes of each other one.
+/// Sends a new notice to every node of the own data centre immediately and, unless it was received
+/// from another data centre, to two nodes of each other one.
 struct ForwardNotice
 {
     LeavingNotice m_notice;
     bool m_toOtherDataCentres = true;
 };
 
-/// For logs, the explain history, and whoever has requests or jobs there.
+/// For logs, the explain history, and components with requests or jobs at the upstream.
 struct UpstreamStateChanged
 {
     UpstreamId m_upstream;
@@ -38,14 +38,14 @@
 using UpstreamCommand = std::variant<ProbeUpstream, ForwardNotice, UpstreamStateChanged>;
 using UpstreamCommands = std::vector<UpstreamCommand>;
 
-/// A VM of an upstream as the cloud's lagging list shows it.
+/// A VM of an upstream as shown in the cloud's list, which lags.
 struct ListedUpstream
 {
     UpstreamDeclaration m_declaration;
     bool m_isLeaving = false;
 };
 
-/// An owner's compact word about an upstream.
+/// An owner's compact report about an upstream.
 struct UpstreamObservation
 {
     std::int64_t m_key = 0;
@@ -55,21 +55,21 @@
     Duration m_age{};
 };
 
-/// Observations and the version they lead up to.
+/// Observations and the version up to which they are complete.
 struct ObservationBatch
 {
     std::vector<UpstreamObservation> m_observations;
     std::int64_t m_upTo = 0;
 };
 
-/// Requests that one node has at an upstream.
+/// Number of requests that one node has at an upstream.
 struct InFlightReport
 {
     std::int64_t m_key = 0;
     int m_count = 0;
 };
 
-/// From where a notice reached this node.
+/// Where this node received a notice from.
 enum class NoticeSource { Local, OwnDataCentre, OtherDataCentre };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/upstream_set.hpp
+++ b/include/gypsumdale/fleet/upstream_set.hpp
@@ -14,21 +14,21 @@
 
 namespace gypsumdale {
 
-/// How many requests other nodes said to have at an upstream.
+/// Number of requests that each other node reported to have at an upstream.
 class InFlightReports
 {
 public:
     void set(const NodeId &node, int count);
     /// Returns false if the node had none.
     bool forget(const NodeId &node) { return m_countOf.erase(node) != 0; }
-    /// Linear in the nodes.
+    /// Returns the sum over all nodes. Complexity: linear in the number of nodes.
     int sum() const;
 
 private:
     std::unordered_map<NodeId, int> m_countOf;
 };
 
-/// All that the table holds of one upstream.
+/// Everything that the table stores for one upstream.
 struct UpstreamEntry
 {
     UpstreamStateTracker m_tracker;
@@ -37,7 +37,7 @@
     bool m_isOwned = false;
     bool m_isStatic = false;
     bool m_isListed = false;
-    /// The last list that did not show it, in a row; 0 while listed.
+    /// Number of consecutive lists that did not show it; 0 while listed.
     int m_missedLists = 0;
     TimePoint m_nextProbe;
     int m_failedProbes = 0;
@@ -58,20 +58,21 @@
     UpstreamEntry *find(const UpstreamId &upstream);
     const UpstreamEntry *find(const UpstreamId &upstream) const;
     UpstreamEntry *find(std::int64_t key);
-    /// Of an upstream that must be there.
+    /// Returns the entry of an upstream that must be present.
     const UpstreamEntry &at(std::int64_t key) const { return m_entries.at(m_byKey.at(key)); }
 
-    /// Adds one that is not there yet.
+    /// Adds an upstream that must not be present.
     UpstreamEntry &insert(const UpstreamDeclaration &declaration, UpstreamLocality place,
                           TimePoint now);
     void redeclare(UpstreamEntry &entry, const UpstreamDeclaration &declaration);
     void erase(const UpstreamId &upstream);
 
-    /// Copies, in order of services and names.
+    /// Returns copies, ordered by service and name.
     std::vector<UpstreamView> views() const;
 
     /// Calls visit(const UpstreamView &) for each upstream of a service and data centre that may
-    /// take new work. Linear in the upstreams of the service there, without copies.
+    /// get new work. Complexity: linear in the number of upstreams of the service there, without
+    /// copies.
     template <typename Visit>
     void forEachCandidate(const ServiceId &service, const DataCentreId &dataCentre,
                           Visit &&visit) const
@@ -86,14 +87,15 @@
         }
     }
 
-    /// Copies of the candidates, live ones first, then by name.
+    /// Returns copies of the candidates, live ones first, then by name.
     std::vector<UpstreamView> candidates(const ServiceId &service,
                                          const DataCentreId &dataCentre) const;
 
-    /// What the upstreams of a service and data centre can take. Linear in them.
+    /// Returns the free capacity of the upstreams of a service and data centre. Complexity: linear
+    /// in their number.
     OwnCapacity openCapacityOf(const ServiceId &service, const DataCentreId &dataCentre) const;
 
-    /// What the live upstreams of a data centre can take on, by service. Linear.
+    /// Returns the capacity of the live upstreams of a data centre, by service. Complexity: linear.
     std::vector<ServiceCapacity> capacityOf(const DataCentreId &dataCentre) const;
 
 private:
--- a/include/gypsumdale/fleet/upstream_state.hpp
+++ b/include/gypsumdale/fleet/upstream_state.hpp
@@ -19,7 +19,7 @@
         {UpstreamState::Gone, "gone"},
 }};
 
-/// An upstream as settings or the VM list declare it. One without a VM comes from settings.
+/// An upstream as declared in the settings or the VM list. One without a VM is from the settings.
 struct UpstreamDeclaration
 {
     UpstreamId m_upstream;
@@ -34,7 +34,7 @@
     friend bool operator==(const UpstreamDeclaration &, const UpstreamDeclaration &) = default;
 };
 
-/// What an upstream last said of itself. Slots are 0 while nothing is known.
+/// Load that an upstream last reported. Slots are 0 while unknown.
 struct UpstreamLoad
 {
     Incarnation m_incarnation = 0;
@@ -46,24 +46,25 @@
     friend bool operator==(const UpstreamLoad &, const UpstreamLoad &) = default;
 };
 
-/// What this node holds of one upstream: the snapshot that routing decides on.
+/// What this node knows of one upstream: the snapshot that routing is based on.
 struct UpstreamView
 {
     UpstreamDeclaration m_declaration;
     UpstreamState m_state = UpstreamState::Suspect;
     TimePoint m_stateSince;
-    /// Why it is in this state, for operators.
+    /// Reason for the state, for operators.
     std::string m_reason;
-    /// When it will be gone, if a notice said; 0 otherwise.
+    /// Time at which the upstream ends, if a notice contains it; 0 otherwise.
     WallMillis m_deadline = 0;
     UpstreamLoad m_load;
-    /// When the load was observed, here or by the owner; the epoch's start if never.
+    /// Time at which the load was observed, here or by the owner; the epoch's start if never.
     TimePoint m_loadAt;
-    /// Requests of this node and, as the owner last summed them, of all nodes.
+    /// Requests of this node and, as last summed by the owner, of all nodes.
     int m_ownInFlight = 0;
     int m_totalInFlight = 0;
 
-    /// Tells whether new work may go there; a suspect takes some only when no live one is left.
+    /// Returns whether new work may go there; a suspect upstream gets some only if no live one
+    /// remains.
     bool isOpen() const
     {
         return m_state == UpstreamState::Live || m_state == UpstreamState::Suspect;
--- a/include/gypsumdale/fleet/upstream_state_tracker.hpp
+++ b/include/gypsumdale/fleet/upstream_state_tracker.hpp
@@ -9,30 +9,30 @@
 
 namespace gypsumdale {
 
-/// Who looks after an upstream, which says from whom this node hears of it.
+/// Where an upstream is, which determines how this node learns about it.
 enum class UpstreamLocality {
     /// Nodes of this data centre probe it.
     Local,
-    /// Its own data centre watches it; here it counts as live but for failed requests.
+    /// Nodes of its own data centre probe it; here it counts as live unless requests fail.
     Remote,
 };
 
-/// After which silence what is believed of an upstream.
+/// Durations of silence after which the state of an upstream changes.
 struct SilenceLimits
 {
-    /// One that is leaving, and over its deadline or off the VM list, is gone.
+    /// An upstream that is leaving, and past its deadline or not in the VM list, is gone.
     Duration m_gone{};
-    /// One that an owner cannot reach is suspect.
+    /// An upstream that an owner cannot reach is suspect.
     Duration m_confirmed{};
-    /// One that nobody speaks of is suspect.
+    /// An upstream without any report is suspect.
     Duration m_longest{};
 };
 
-/// What this node believes of one upstream, and why: its state with all that moves it.
+/// Tracks the state of one upstream with everything that changes it.
 ///
-/// Leaving is sticky. Once the VM itself goes, no incarnation on it gets new work; where only the
-/// process goes, a higher incarnation that answers ends it. Each change of state is one
-/// UpstreamStateChanged.
+/// Leaving is permanent. If the VM itself goes away, no incarnation on it gets new work; if only
+/// the process ends, a higher incarnation that answers ends the state. Each state change results in
+/// one UpstreamStateChanged.
 class UpstreamStateTracker
 {
 public:
@@ -47,39 +47,41 @@
     void redeclare(const UpstreamDeclaration &declaration) { m_view.m_declaration = declaration; }
     void setInFlight(int own, int total);
 
-    /// The upstream is no longer declared at all.
+    /// Marks the upstream as gone, as it is no longer declared.
     void drop(TimePoint now, UpstreamCommands &commands);
-    /// The VM list no longer shows its VM, and is believed.
+    /// Marks the upstream as leaving, as the VM list reliably no longer shows its VM.
     void markUnlisted(TimePoint now, UpstreamCommands &commands);
-    /// The notice names the upstream, its VM or its zone. A drain of an earlier incarnation is
-    /// none of this one's business.
+    /// Applies a notice that names the upstream, its VM or its zone. A drain of an earlier
+    /// incarnation doesn't apply to the current one.
     void leave(const LeavingNotice &notice, TimePoint now, UpstreamCommands &commands);
-    /// It appeared right after its zone's notice: no new work until then.
+    /// Withholds new work until `until`, as the upstream appeared right after its zone's notice.
     void holdBack(TimePoint until, TimePoint now, UpstreamCommands &commands);
 
-    /// Takes in what the upstream said of itself; false if something later is known.
+    /// Records the load that the upstream reported. Returns false if a later one is known.
     bool recordLoad(const UpstreamLoad &load, TimePoint observedAt);
-    /// After a load was taken in: what a sign of life changes.
+    /// Updates the state after a load was recorded, which is a sign of life.
     void recoverIfAnswered(TimePoint now, UpstreamCommands &commands);
 
-    /// `node` cannot reach it, or can again. A word of suspicion alone changes no state.
+    /// Records that `node` cannot reach the upstream, or can again. A suspicion alone doesn't
+    /// change the state.
     void addSuspicion(const NodeId &node) { m_suspectedBy.insert(node); }
     void clearSuspicion(const NodeId &node) { m_suspectedBy.erase(node); }
-    /// Suspect if the node cannot reach it, otherwise the state.
+    /// Returns Suspect if the node cannot reach it, otherwise the state.
     UpstreamState stateSeenBy(const NodeId &node) const;
-    /// Drops the words of all other nodes.
+    /// Removes the suspicions of all other nodes.
     void retainSuspicionsOf(const std::vector<NodeId> &nodes);
 
-    /// Probes of this node failed so often that it suspects the upstream itself.
+    /// Marks the upstream as suspect, as enough consecutive probes of this node failed.
     void recordProbeFailure(const NodeId &self, const std::string &reason, TimePoint now,
                             UpstreamCommands &commands);
-    /// A request failed there: suspect at least until `penaltyUntil`.
+    /// Marks the upstream as suspect at least until `penaltyUntil`, as a request failed there.
     void recordRequestFailure(const std::string &reason, TimePoint penaltyUntil, TimePoint now,
                               UpstreamCommands &commands);
-    /// A request got an answer, which ends the penalty.
+    /// Records that a request was answered, which ends the penalty.
     void recordRequestSuccess(TimePoint now, UpstreamCommands &commands);
 
-    /// What time alone changes. `isListed` tells whether the VM list shows its VM.
+    /// Applies the state changes that depend on time alone. `isListed` is whether the VM list shows
+    /// its VM.
     void updateByTime(UpstreamLocality place, bool isListed, const SilenceLimits &limits,
                       TimePoint now, WallMillis wallNow, UpstreamCommands &commands);
 
@@ -92,16 +94,17 @@
     void settleLive(const SilenceLimits &limits, TimePoint now, UpstreamCommands &commands);
 
     UpstreamView m_view;
-    /// When the upstream last answered, to this node or to an owner who said so.
+    /// Time of the upstream's last answer, to this node or to an owner that reported it.
     TimePoint m_lastAnswer;
     TimePoint m_penaltyUntil;
     std::set<NodeId> m_suspectedBy;
-    /// The VM itself goes: no incarnation on it gets new work.
+    /// The VM itself goes away: no incarnation on it gets new work.
     bool m_isVmLeaving = false;
-    /// The process goes: it stays leaving until a higher incarnation answers. 0 means the first
-    /// incarnation to answer.
+    /// The process ends: the upstream stays leaving until a higher incarnation answers. 0 means the
+    /// first incarnation to answer.
     std::optional<Incarnation> m_leavingIncarnation;
-    /// Held back since it appeared right after its zone's notice; the clock's start if not.
+    /// Time until which it gets no work, as it appeared right after its zone's notice; the clock's
+    /// start if that isn't the case.
     TimePoint m_heldUntil;
 };
 
--- a/include/gypsumdale/fleet/upstream_table.hpp
+++ b/include/gypsumdale/fleet/upstream_table.hpp
@@ -14,78 +14,81 @@
 namespace gypsumdale {
 
 /// All upstreams this node knows, with their state and load. Two nodes of an upstream's data
-/// centre, chosen by rendezvous hashing, probe it and tell the others what changed.
+/// centre, selected by rendezvous hashing, probe it and report changes to the others.
 ///
-/// Leaving is sticky: a VM under a reclaim notice stays leaving until it is gone, whatever a
-/// lagging list, a probe or another node says; an upstream that an operator drains stays so until
-/// it comes back with a higher incarnation. An upstream that is leaving or gone is never among the
-/// candidates.
+/// Leaving is permanent: a VM under a reclaim notice stays leaving until it is gone, whatever a
+/// lagging list, a probe or another node reports; an upstream that an operator drains stays leaving
+/// until it returns with a higher incarnation. An upstream that is leaving or gone is never among
+/// the candidates.
 ///
-/// The parts: UpstreamSet holds the upstreams, UpstreamStateTracker the state of one of them,
-/// NoticeTable the notices, ProbeDuty who probes what, ObservationSchedule when an owner speaks,
-/// and chooseRouteScope chooses between data centres. The table takes in events and hands them on
-/// to these.
+/// Components: UpstreamSet stores the upstreams, UpstreamStateTracker tracks the state of one of
+/// them, NoticeTable stores the notices, ProbeDuty distributes the probing, ObservationSchedule
+/// determines when an owner reports, and chooseRouteScope selects between data centres. The table
+/// receives events and passes them to these.
 class UpstreamTable
 {
 public:
     explicit UpstreamTable(UpstreamTableSettings settings);
 
-    /// Replaces the upstreams that settings name. Linear.
+    /// Replaces the upstreams that the settings declare. Complexity: linear.
     UpstreamCommands setConfiguredUpstreams(const std::vector<UpstreamDeclaration> &declared,
                                             TimePoint now);
 
-    /// Takes in the cloud's list. It lags: it adds VMs and says leaving, but a VM it shows live
-    /// although a notice said otherwise stays leaving. A VM no longer shown is leaving, and gone
-    /// once it is silent. Linear.
+    /// Applies the cloud's list. It lags: it adds VMs and marks them as leaving, but a VM that it
+    /// shows as live although a notice concerns it stays leaving. A VM that is no longer shown is
+    /// leaving, and gone once it is silent. Complexity: linear.
     UpstreamCommands onVmList(const std::vector<ListedUpstream> &listed, TimePoint now,
                               WallMillis wallNow);
 
-    /// Takes in a notice, from the cloud, an operator or a peer; copies are ignored. Linear in the
-    /// upstreams for a zone, logarithmic otherwise.
+    /// Applies a notice from the cloud, an operator or a peer; copies are ignored. Complexity:
+    /// linear in the number of upstreams for a zone, logarithmic otherwise.
     UpstreamCommands onNotice(const LeavingNotice &notice, NoticeSource source, TimePoint now,
                               WallMillis wallNow);
 
-    /// An operator's drain of the upstream in its present incarnation; nothing if it is unknown.
+    /// Drains the upstream in its current incarnation on behalf of an operator; does nothing if it
+    /// is unknown.
     UpstreamCommands drain(const UpstreamId &upstream, TimePoint now, WallMillis wallNow);
 
-    /// Says which nodes share the duty of probing (Membership::dutyNodes). Cheap if unchanged;
-    /// otherwise linear in nodes times upstreams.
+    /// Sets the nodes that share the probing (Membership::dutyNodes). Cheap if unchanged; otherwise
+    /// linear in nodes times upstreams.
     void setNodes(const std::vector<NodeId> &nodes);
 
-    /// Moves on to `now`: probes that are due, and what ran out. Linear in upstreams, every 200 ms.
+    /// Advances to `now`: starts due probes and handles expiry. Complexity: linear in the number of
+    /// upstreams, every 200 ms.
     UpstreamCommands tick(TimePoint now, WallMillis wallNow);
 
     UpstreamCommands onLoad(const UpstreamId &upstream, const UpstreamLoad &load, TimePoint now);
     UpstreamCommands onProbeFailed(const UpstreamId &upstream, const std::string &reason,
                                    TimePoint now);
 
-    /// A request of this node could not reach the upstream or broke off there.
+    /// Handles a request of this node that could not reach the upstream or was aborted there.
     UpstreamCommands onRequestFailed(const UpstreamId &upstream, const std::string &reason,
                                      TimePoint now);
-    /// A request of this node got an answer. Ends the penalty of a failed one.
+    /// Handles a request of this node that was answered. Ends the penalty of a failed one.
     UpstreamCommands onRequestSucceeded(const UpstreamId &upstream, TimePoint now);
 
-    /// Sets the number of this node's requests at the upstream. Constant.
+    /// Sets the number of this node's requests at the upstream. Complexity: constant.
     void setInFlight(const UpstreamId &upstream, int count);
 
-    /// What this node observed as an owner since a version, oldest first and at most `limit` of it.
-    /// Linear in what is returned.
+    /// Returns the observations of this node as an owner since a version, oldest first and at most
+    /// `limit` of them. Complexity: linear in the result.
     ObservationBatch observationsSince(std::int64_t version, std::size_t limit,
                                        TimePoint now) const;
-    /// This node's own requests at upstreams that changed since `version`: all of them among few
-    /// nodes, else those that `owner` probes. Leads up to inFlightVersion(). Linear in the changes.
+    /// Returns this node's own requests at upstreams that changed since `version`: all of them if
+    /// there are few nodes, otherwise those at upstreams that `owner` probes. Complete up to
+    /// inFlightVersion(). Complexity: linear in the number of changes.
     std::vector<InFlightReport> inFlightFor(const NodeId &owner, std::int64_t version) const;
     std::int64_t inFlightVersion() const { return m_inFlightChanges.version(); }
     std::int64_t version() const { return m_changes.version(); }
 
-    /// Takes in what a node of the own data centre observed. Logarithmic.
+    /// Applies an observation from a node of the own data centre. Complexity: logarithmic.
     UpstreamCommands onObservation(const NodeId &from, const UpstreamObservation &observation,
                                    TimePoint now);
     void onInFlight(const NodeId &from, const InFlightReport &report);
-    /// Drops what a node reported of its requests, when it is dead or started anew. Linear.
+    /// Removes the reported requests of a node that is dead or has restarted. Complexity: linear.
     void removeReports(const NodeId &node);
 
-    /// The notices still kept, and a digest over their ids, with which peers find out that one of
+    /// Returns the retained notices, and a digest over their ids, by which peers detect that one of
     /// them missed some.
     std::vector<LeavingNotice> notices() const { return m_notices.all(); }
     std::int64_t noticesDigest() const { return m_notices.digest(); }
@@ -94,7 +97,8 @@
     std::vector<UpstreamView> views() const { return m_entries.views(); }
 
     /// Calls visit(const UpstreamView &) for each upstream of a service and data centre that may
-    /// take new work. Linear in the upstreams of the service there, without copies.
+    /// get new work. Complexity: linear in the number of upstreams of the service there, without
+    /// copies.
     template <typename Visit>
     void forEachCandidate(const ServiceId &service, const DataCentreId &dataCentre,
                           Visit &&visit) const
@@ -102,23 +106,23 @@
         m_entries.forEachCandidate(service, dataCentre, std::forward<Visit>(visit));
     }
 
-    /// Copies of the candidates, live ones first, then by name.
+    /// Returns copies of the candidates, live ones first, then by name.
     std::vector<UpstreamView> candidates(const ServiceId &service,
                                          const DataCentreId &dataCentre) const
     {
         return m_entries.candidates(service, dataCentre);
     }
 
-    /// Where a request for a service may go: the own data centre unless its upstreams are gone or,
-    /// if the setting allows, full; then others by their summaries.
+    /// Returns where a request for a service may go: the own data centre unless its upstreams are
+    /// gone or, if the setting allows, full; otherwise others according to their summaries.
     RouteScope routeScope(const ServiceId &service,
                           const std::map<DataCentreId, ReceivedSummary> &summaries,
                           TimePoint now) const;
 
-    /// The own data centre's capacity by service, for its summary. Linear.
+    /// Returns the own data centre's capacity by service, for its summary. Complexity: linear.
     std::vector<ServiceCapacity> capacity() const;
 
-    /// The nodes that probe an upstream.
+    /// Returns the nodes that probe an upstream.
     const std::vector<NodeId> &ownersOf(const UpstreamId &upstream) const;
 
 private:
--- a/include/gypsumdale/fleet/upstream_table_settings.hpp
+++ b/include/gypsumdale/fleet/upstream_table_settings.hpp
@@ -8,41 +8,42 @@
 
 namespace gypsumdale {
 
-/// How the table watches upstreams. Made by UpstreamTableSettingsBuilder.
+/// How the table tracks upstreams. Created by UpstreamTableSettingsBuilder.
 struct UpstreamTableSettings
 {
     NodeId m_self;
     DataCentreId m_dataCentre;
-    /// How many nodes probe an upstream.
+    /// Number of nodes that probe an upstream.
     std::size_t m_owners = 2;
-    /// Up to so many nodes tell each other all their requests in flight; where there are more, each
-    /// tells only the owners, who tell the sum.
+    /// Up to this number of nodes, each node reports its requests in flight to all others; above
+    /// it, each reports them to the owners only, which report the sum.
     std::size_t m_fullMeshLimit = 12;
-    /// The shortest time between two probes of an upstream by one owner.
+    /// Minimum time between two probes of an upstream by one owner.
     Duration m_probeInterval = std::chrono::milliseconds(500);
     Duration m_longestProbeInterval = std::chrono::seconds(10);
-    /// What probes may cost: the interval grows with the upstreams this node owns.
+    /// Budget of probes: the interval grows with the number of upstreams that this node owns.
     double m_probesPerSecond = 10;
-    /// Failed probes in a row after which an owner holds an upstream for suspect.
+    /// Consecutive failed probes after which an owner counts an upstream as suspect.
     int m_suspectAfterFailures = 2;
     /// How long this node avoids an upstream that failed one of its own requests.
     Duration m_failurePenalty = std::chrono::seconds(2);
-    /// An owner tells of an upstream at least this often, changed or not.
+    /// Maximum time between two reports of an owner about an upstream, changed or not.
     Duration m_reportInterval = std::chrono::seconds(5);
-    /// Silence after which nobody's word on an upstream counts any more: it is suspect.
+    /// Silence after which no earlier report about an upstream is valid any more: it is suspect.
     Duration m_longestSilence = std::chrono::seconds(20);
     /// Silence after which a VM that the list no longer shows counts as gone.
     Duration m_goneAfter = std::chrono::seconds(3);
-    /// How long the VM list may lag: a VM first seen so soon after its zone's notice is held back.
+    /// Maximum lag of the VM list: a VM first seen within this time after its zone's notice gets no
+    /// work until this time has passed.
     Duration m_listLag = std::chrono::seconds(30);
-    /// How long notices are kept after their deadline, to recognise late copies.
+    /// How long notices are retained after their deadline, to recognise late copies.
     Duration m_noticeRetention = std::chrono::minutes(10);
     RemoteScope m_remoteScope = RemoteScope::WhenFull;
-    /// Summaries older than this are not routed by.
+    /// Summaries older than this are not used for routing.
     Duration m_longestSummaryAge = std::chrono::seconds(10);
 };
 
-/// Builds UpstreamTableSettings; whatever is not set keeps its default.
+/// Builds UpstreamTableSettings; unset fields keep their defaults.
 class UpstreamTableSettingsBuilder
 {
 public:
--- a/src/fleet/config_object.cpp
+++ b/src/fleet/config_object.cpp
@@ -53,7 +53,7 @@
     }
     if (key.m_name == fleetSettingsName)
         return widen(checkFleetSettings(body, document));
-    return nameFinding(document, "the fleet has one object only",
+    return nameFinding(document, "the fleet has only one settings object",
                        "name it " + std::string(fleetSettingsName));
 }
 
--- a/src/fleet/config_peers.cpp
+++ b/src/fleet/config_peers.cpp
@@ -19,9 +19,10 @@
     return result;
 }
 
-/// Failure guarded against: a peer's late message from before its restart is taken as proof that it
-/// knows a version, which the restart has made it forget; both could then lose it. What a former
-/// life said is dropped as soon as a later life was heard.
+/// Failure guarded against: a late message that a peer sent before its restart is taken as proof
+/// that it knows a version, although it lost that version in the restart; both nodes could then
+/// lose it. State of a former incarnation is therefore dropped as soon as a message of a later one
+/// arrives.
 bool ConfigPeers::recordIncarnation(const NodeId &node, Incarnation incarnation)
 {
     const auto found = m_peers.find(node);
@@ -75,8 +76,9 @@
         return peer.second.m_completeTo >= version;
     };
     const auto wasGone = [learnedAt](const auto &peer) {
-        // Not at the same instant: the proof may then be of the time before the node learned it,
-        // and a later life of the peer have got ready in between by this node's earlier answer.
+        // Not at the same instant: the proof may then be from before the node learned the version,
+        // and a later incarnation of the peer may have become ready in between through an earlier
+        // answer of this node.
         return peer.second.m_goneAfter > learnedAt;
     };
     return std::any_of(m_peers.begin(), m_peers.end(), knowsIt)
--- a/src/fleet/config_replica.cpp
+++ b/src/fleet/config_replica.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Deletions beyond this many are forgotten; who asks from before then gets a snapshot.
+/// Maximum number of retained deletions; a request for changes since before them gets a snapshot.
 constexpr std::size_t mostDeletions = 1000;
 
-/// A text that no two sets of versions share.
+/// Returns a text that is unique to the object's version.
 std::string summaryOf(const ConfigObject &object)
 {
     return platformName(object.m_key) + "@" + std::to_string(object.m_version) + "\n";
@@ -38,7 +38,7 @@
     m_completeTo = changes.m_upTo;
     if (!news.empty())
         rehash();
-    // A snapshot doesn't tell which objects came and went since the known version.
+    // A snapshot doesn't show which objects were created and deleted since the known version.
     if (hasSkipped || m_deletions > mostDeletions)
         forgetDeletions();
     return news;
--- a/src/fleet/config_store.cpp
+++ b/src/fleet/config_store.cpp
@@ -115,7 +115,7 @@
     ConfigCommands commands;
     const auto &sender = update.m_sender;
     const bool isAnswer = !update.m_answerTo.isEmpty();
-    // An answer to a former life says nothing about this one.
+    // An answer to a former incarnation shows nothing about this one.
     const bool isMine = update.m_answerTo == m_setup.m_node
                         && update.m_answerToIncarnation == m_setup.m_incarnation;
     if ((isAnswer && !isMine) || !meetPeer(sender))
@@ -140,7 +140,8 @@
     return commands;
 }
 
-/// Notes who sent a digest and what it says of its data centre; false for a life that has ended.
+/// Records the sender of a digest and what it reports about its data centre. Returns false for a
+/// superseded incarnation.
 bool ConfigStore::meetPeer(const ConfigDigestFrom &sender)
 {
     if (!m_peers.recordIncarnation(sender.m_node, sender.m_incarnation))
@@ -152,7 +153,7 @@
     return true;
 }
 
-/// Takes changes and makes candidates of what is new. Returns whether anything was.
+/// Applies changes and adds the new objects to the candidates. Returns whether there were any.
 bool ConfigStore::takeChanges(const ConfigChanges &changes, TimePoint now, ConfigCommands &commands)
 {
     const auto news = m_known.take(changes);
@@ -168,9 +169,9 @@
     if (!object.m_deleted) {
         auto checked = checkConfigBody(key, object.m_body);
         if (auto *findings = std::get_if<Findings>(&checked)) {
-            // Failure guarded against: a restarted node hears an old version from one peer and a
-            // newer, refused one from another. What its former life had in force may lie between
-            // the two, so the old one must not come into force.
+            // Failure guarded against: a restarted node receives an old version from one peer and a
+            // newer, refused one from another. The version that its former incarnation had in force
+            // may lie between the two, so the old one must not be put in force.
             if (!m_ready)
                 m_candidates.erase(key);
             m_refused[key] = {key, object.m_version, std::move(*findings)};
@@ -191,7 +192,7 @@
     m_confirmedSeenAt = now;
 }
 
-/// Sets what a peer knows against what is known here: takes over its confirmation, or asks.
+/// Compares a peer's known version with the own one: adopts its confirmation or requests changes.
 void ConfigStore::compare(const ConfigDigestFrom &peer, TimePoint now, ConfigCommands &commands)
 {
     const auto &theirs = peer.m_digest;
@@ -202,11 +203,12 @@
         ask(peer.m_node, now, commands);
         return;
     }
-    // All that the peer knows is known here, so what was confirmed of its knowledge holds here.
+    // Everything that the peer knows is known here, so its confirmation is valid here too.
     confirm(theirs.m_confirmedAsOf, now);
     if (isSame || theirs.m_completeTo < m_known.completeTo())
         return;
-    // The same version and other objects: one of the two is wrong, and the platform says which.
+    // Same version but different objects: one of the two is wrong, which only the platform can
+    // decide.
     m_mustList = true;
     usePlatform(now, commands);
 }
@@ -227,7 +229,8 @@
 
 void ConfigStore::ask(const NodeId &peer, TimePoint now, ConfigCommands &commands)
 {
-    // One question at a time: after a change every peer's digest is ahead, and one answer will do.
+    // One request at a time: after a change the digests of all peers are ahead, and one answer is
+    // enough.
     if (now < m_mayAskAt)
         return;
     m_mayAskAt = now + m_setup.m_askInterval;
@@ -258,7 +261,7 @@
     if (!m_ready && reason.empty())
         return;
     putSafeInForce(commands);
-    // A node that was ready with half of its configuration would refuse or misjudge requests.
+    // A node that was ready with part of its configuration would refuse or misjudge requests.
     if (m_ready || !m_candidates.empty())
         return;
     m_ready = true;
@@ -284,7 +287,7 @@
     }
 }
 
-/// Why the node may become ready, or empty.
+/// Returns the reason why the node may become ready, or an empty text.
 std::string ConfigStore::readyReason() const
 {
     if (m_readThisLife)
@@ -303,13 +306,14 @@
     if (m_ready)
         return {};
     if (!readyReason().empty())
-        return "the configuration is known, but no node of the data centre has taken note of it";
+        return "the configuration is known, but no other node of the data centre has confirmed it";
     std::string missing;
     for (const NodeId &node : m_peers.unanswered())
         missing += (missing.empty() ? "" : ", ") + node.text();
     if (missing.empty())
-        return "the platform hasn't answered, and the peers know less than what was in force";
-    return "the platform hasn't answered, nor have these nodes while ready: " + missing;
+        return "the platform hasn't answered, and the peers' version is older than what was in "
+               "force";
+    return "the platform hasn't answered, and these nodes haven't answered as ready: " + missing;
 }
 
 void ConfigStore::onPlatformAnswer(const ConfigChanges &changes, WallMillis askedAt, TimePoint now,
@@ -323,7 +327,7 @@
     m_confirmedSeenAt = now;
 }
 
-/// Starts a call to the platform where one is due: the relay's next watch, or a list.
+/// Starts a call to the platform if one is due: the relay's next watch, or a list.
 void ConfigStore::usePlatform(TimePoint now, ConfigCommands &commands)
 {
     if (m_platformCallOut || now < m_platformNotBefore)
@@ -340,9 +344,9 @@
     commands.emplace_back(WatchPlatform{m_known.completeTo(), m_setup.m_watchTimeout});
 }
 
-/// Failure guarded against: the relay lives and serves, but its way to the platform is cut or its
-/// connection has gone silent, and the data centre hears nothing new. The others then read the
-/// platform themselves, the next in rank first, so that not all of them do.
+/// Failure guarded against: the relay is alive and serves, but its path to the platform is
+/// interrupted or its connection is silent, and the data centre gets no changes. The other nodes
+/// then read the platform themselves, in order of their rank, so that not all of them do.
 bool ConfigStore::isNewsOverdue(TimePoint now) const
 {
     constexpr int mostTurns = 8;
--- a/src/fleet/config_writer.cpp
+++ b/src/fleet/config_writer.cpp
@@ -8,10 +8,10 @@
 
 constexpr std::string_view writeIdMark = "# write: ";
 
-/// Calls that one write may take before it is given up.
+/// Maximum number of calls of one write.
 constexpr int mostCalls = 8;
 
-/// Returns where the body's last line starts.
+/// Returns the position at which the body's last line starts.
 std::size_t lastLine(std::string_view body)
 {
     const auto end = body.find_last_not_of('\n');
@@ -73,7 +73,7 @@
 
 ConfigWriterStep ConfigWriter::onRefused(const Error &error)
 {
-    // An earlier send whose answer was lost may still have taken effect.
+    // An earlier call whose answer was lost may still have taken effect.
     if (m_answerLost)
         return readAgain(error);
     return EditFailed{error};
@@ -95,12 +95,12 @@
         return EditAccepted{0};
     if (object && !m_edit.m_delete && writeIdOf(object->m_body) == m_edit.m_writeId)
         return EditAccepted{version};
-    // The same write again is harmless: both carry the condition, so at most one takes effect.
+    // Repeating the write is safe: both calls are conditional, so at most one takes effect.
     if (isUntouched && --m_callsLeft > 0)
         return write();
-    return EditUnknown{
-            {ErrorId::PlatformAnswerLost, "the answer was lost, and it can't be told if it worked"},
-            object};
+    return EditUnknown{{ErrorId::PlatformAnswerLost,
+                        "the answer was lost, and it is unknown whether the change took effect"},
+                       object};
 }
 
 ConfigWriterStep ConfigWriter::onReadFailed(const Error &error)
--- a/src/fleet/detail/vm_list_filter.cpp
+++ b/src/fleet/detail/vm_list_filter.cpp
@@ -4,13 +4,14 @@
 
 namespace {
 
-/// So many lists in a row must miss a VM.
+/// Number of consecutive lists that must miss a VM before it counts as unlisted.
 constexpr int missesUntilBelieved = 2;
-/// A list that loses more than this part of its VMs at once is not believed against their answers.
+/// A list that loses more than this part of its VMs at once, as a divisor, is ignored for VMs that
+/// answer.
 constexpr std::size_t massiveLossDivisor = 2;
 constexpr std::size_t fewestForMassiveLoss = 4;
 
-/// Tells whether the list lost so many VMs at once that it may have been cut short.
+/// Returns whether the list lost so many VMs at once that it may be truncated.
 bool isMassiveLoss(const UpstreamSet &upstreams, const std::set<UpstreamId> &shown)
 {
     std::size_t known = 0;
@@ -35,12 +36,12 @@
         if (!entry.m_isListed || shown.contains(upstream))
             continue;
         ++entry.m_missedLists;
-        // Two reads of a lagging list may come from replicas of different age: one that misses a VM
-        // proves nothing, and leaving could not be undone.
+        // Two reads of a lagging list may come from replicas of different age: one list that misses
+        // a VM proves nothing, and leaving could not be undone.
         if (entry.m_missedLists < missesUntilBelieved)
             continue;
-        // A list that comes cut short shows as most VMs missing at once. Were it believed, a fault
-        // of the cloud's interface would stop all service; VMs that answer are still there.
+        // A truncated list appears as most VMs missing at once. If it were accepted, a fault of the
+        // cloud's interface would stop all service; VMs that answer still exist.
         const bool answers = entry.m_tracker.lastAnswer() > answeredSince;
         if (isMassive && answers)
             continue;
--- a/src/fleet/detail/vm_list_filter.hpp
+++ b/src/fleet/detail/vm_list_filter.hpp
@@ -7,9 +7,9 @@
 
 namespace gypsumdale::detail {
 
-/// Notes what the cloud's list no longer shows, and returns the upstreams of which it is believed:
-/// these count as listed no longer. One list that misses a VM is not believed, nor one that comes
-/// cut short, of upstreams that answered after `answeredSince`. Linear.
+/// Counts the lists that miss an upstream, and returns the upstreams that are now considered
+/// unlisted. A single list that misses a VM is not enough; a list that may be truncated is ignored
+/// for upstreams that answered after `answeredSince`. Complexity: linear.
 std::vector<UpstreamEntry *> recordMissingVms(UpstreamSet &upstreams,
                                               const std::set<UpstreamId> &shown,
                                               TimePoint answeredSince);
--- a/src/fleet/drain.cpp
+++ b/src/fleet/drain.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// At most this part of the time budget goes to waiting for the balancer.
+/// Maximum part of the time budget, as a divisor, that is spent on waiting for the load balancer.
 constexpr int balancerWaitDivisor = 3;
 
 } // namespace
@@ -79,8 +79,8 @@
         close(now, commands);
         return;
     }
-    // A job that can finish here costs nothing; one that cannot is handed over while there is time
-    // for its new owner to acknowledge.
+    // A job that can finish here costs nothing; one that cannot is handed over while its new owner
+    // still has time to acknowledge.
     if (m_handOverAsked || m_work.m_jobs == 0 || now < handOverAt())
         return;
     m_handOverAsked = true;
@@ -97,7 +97,7 @@
     if (!m_work.isEmpty()) {
         m_cut = m_work;
         commands.push_back(CutRemaining{
-                m_work, fmt::format("{}: the deadline came with {} requests and {} jobs unfinished",
+                m_work, fmt::format("{}: deadline reached with {} requests and {} jobs unfinished",
                                     m_reason, m_work.m_requests, m_work.m_jobs)});
     }
     commands.push_back(CloseConnections{m_reason});
@@ -108,7 +108,7 @@
     if (now < m_closingAt + m_settings.m_closeReserve && now < *m_deadline)
         return;
     m_phase = DrainPhase::Done;
-    commands.push_back(ExitProcess{m_cut, m_reason + ": closing took all its time"});
+    commands.push_back(ExitProcess{m_cut, m_reason + ": closing did not finish in time"});
 }
 
 DrainCommands Drain::closed(TimePoint)
@@ -117,7 +117,7 @@
     if (m_phase != DrainPhase::Closing)
         return commands;
     m_phase = DrainPhase::Done;
-    commands.push_back(ExitProcess{m_cut, m_reason + ": all closed"});
+    commands.push_back(ExitProcess{m_cut, m_reason + ": all connections closed"});
     return commands;
 }
 
--- a/src/fleet/heartbeat_pacing.cpp
+++ b/src/fleet/heartbeat_pacing.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-/// Dead nodes are still tried, this many times more rarely, so that a healed cut is noticed.
+/// Factor for the interval of heartbeats to dead nodes, which continue so that the end of a
+/// partition is noticed.
 constexpr int deadIntervalFactor = 10;
-/// The node that does not start the exchanges of a pair does so after this many intervals, if
-/// nothing came.
+/// Number of intervals without a heartbeat after which the second node of a pair starts an
+/// exchange.
 constexpr double secondIntervalFactor = 1.5;
-/// The weight of the newest heartbeat in the mean of their sizes.
+/// Weight of the newest heartbeat in the moving average of sizes.
 constexpr double sizeWeight = 0.05;
 
 } // namespace
@@ -34,7 +35,7 @@
 
 void HeartbeatPacing::setPeers(std::size_t peers)
 {
-    // An exchange with each peer is a heartbeat out and one in.
+    // An exchange with each peer is one heartbeat sent and one received.
     const double bytes = 2 * m_heartbeatBytes * static_cast<double>(peers);
     const std::chrono::duration<double> affordable(bytes / m_bytesPerSecond);
     const auto wanted = std::chrono::duration_cast<Duration>(affordable);
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// How many intervals lie between two lists of nodes to a peer whose digest differs.
+/// Minimum number of intervals between two lists of nodes to a peer whose digest differs.
 constexpr int intervalsPerNodeList = 5;
-/// How many summaries may fail to come before the nodes of a data centre are suspect.
+/// Number of missing summaries after which the nodes of a data centre are suspect.
 constexpr int missedSummaries = 5;
 
 std::string summaryKey(const DataCentreId &dataCentre)
@@ -67,7 +67,7 @@
 
     for (auto &[node, peer] : m_peers) {
         if (!isOwn(peer.m_tracker.identity().m_dataCentre)) {
-            // Counted in listening time: a pause of this process ages no other data centre.
+            // Measured in running time: a pause of this process doesn't count as silence of others.
             peer.m_tracker.detectRemoteSilence(summaryPatience(), m_listening.activeTime(), now,
                                                commands);
             continue;
@@ -117,7 +117,7 @@
 std::optional<NodeId> Membership::witnessAgainst(const NodeIdentity &silent) const
 {
     for (const auto &[node, other] : m_peers) {
-        // Only a node that is heard now can confirm: the word of one that is silent itself is old.
+        // Only an alive node can confirm: the report of a silent one is outdated.
         if (other.m_tracker.isAlive() && other.m_tracker.suspects(silent))
             return node;
     }
@@ -144,7 +144,7 @@
     });
 }
 
-// --- what arrives -----------------------------------------------------------------------------
+// --- receiving --------------------------------------------------------------------------------
 
 Membership::Received Membership::onHeartbeat(const MembershipMessage &message, TimePoint now)
 {
@@ -161,8 +161,7 @@
     Received received;
     if (message.m_from.m_node == self().m_node)
         return received;
-    // Before anything else: two nodes that hold each other for dead take nothing from each other
-    // but this.
+    // Must come first: two nodes that count each other as dead accept nothing else from each other.
     takeSelfSuspicion(message, received.m_commands);
     Peer &peer = ensure(message.m_from, now);
     const HeartbeatFreshness news = peer.m_tracker.recordHeartbeat(
@@ -212,7 +211,7 @@
 void Membership::takeRemoteNodes(const DataCentreSummary &summary, TimePoint now,
                                  MembershipCommands &commands)
 {
-    // A list that does not match the digest is an old one: its nodes may have gone.
+    // A list that does not match the digest is outdated: some of its nodes may be gone.
     if (!summary.m_nodes || digestOf(*summary.m_nodes) != summary.m_nodesDigest)
         return;
     for (const NodeIdentity &node : *summary.m_nodes) {
@@ -233,7 +232,7 @@
         Peer &peer = ensure(entry.m_identity, now);
         peer.m_tracker.setListed(true);
         if (entry.m_leaving)
-            peer.m_tracker.leave("the VM list says leaving", now, commands);
+            peer.m_tracker.leave("leaving according to the VM list", now, commands);
     }
     return commands;
 }
@@ -257,7 +256,7 @@
         m_links[dataCentre].fail();
 }
 
-// --- what is sent -----------------------------------------------------------------------------
+// --- sending ----------------------------------------------------------------------------------
 
 MembershipMessage Membership::baseMessage()
 {
@@ -308,8 +307,9 @@
     MembershipMessage reply = isOwn(sender.m_dataCentre)
                                       ? messageFor(peer, now)
                                       : messageAcross(sender.m_dataCentre, wallNow);
-    // A process whose incarnation is not above one already seen, as after its clock was set back,
-    // would never be heard: this makes it raise its own.
+    // Heartbeats of a process whose incarnation is not above one already seen, for example after
+    // its clock was set back, would always be ignored: this suspicion makes it raise its
+    // incarnation.
     const Incarnation known = peer.m_tracker.identity().m_incarnation;
     if (sender.m_incarnation < known || peer.m_tracker.isDead())
         reply.m_suspicions.push_back({sender.m_node, known, true});
@@ -384,7 +384,7 @@
     return nodes;
 }
 
-// --- what is known ----------------------------------------------------------------------------
+// --- queries ----------------------------------------------------------------------------------
 
 std::vector<NodeView> Membership::nodes() const
 {
--- a/src/fleet/node_state_tracker.cpp
+++ b/src/fleet/node_state_tracker.cpp
@@ -20,10 +20,10 @@
     : m_heardAt(activeTime)
 {
     m_view.m_identity = identity;
-    // Only a node's own heartbeat or its data centre's summary tells its incarnation.
+    // The incarnation is known only from a node's own heartbeat or its data centre's summary.
     m_view.m_identity.m_incarnation = 0;
     m_view.m_stateSince = now;
-    m_view.m_reason = "not heard yet";
+    m_view.m_reason = "no message received yet";
 }
 
 void NodeStateTracker::setState(NodeState state, std::string reason, TimePoint now,
@@ -46,8 +46,8 @@
                                         identity.m_incarnation, state, isLeaving, m_view.m_reason});
 }
 
-/// Leaving ends with the process. A notice may come before the first heartbeat: it concerns the
-/// process that then appears.
+/// Leaving ends with the process. A notice may arrive before the first heartbeat: it then applies
+/// to the process that sends it.
 bool NodeStateTracker::staysLeaving(bool isNewProcess) const
 {
     const bool isUnheard = m_view.m_identity.m_incarnation == 0;
@@ -62,8 +62,9 @@
     if (incarnation < m_view.m_identity.m_incarnation)
         return HeartbeatFreshness::None;
     const bool isNewProcess = incarnation > m_view.m_identity.m_incarnation;
-    // Dead holds for the incarnation. Its jobs may have been taken over; were it simply alive
-    // again, it would go on with them. The answer tells it, and it comes back with a higher one.
+    // Dead is permanent for the incarnation. The node's jobs may have been taken over; if it became
+    // alive again, it would continue them. The answer informs it, and it returns with a higher
+    // incarnation.
     if (!isNewProcess && isDead())
         return HeartbeatFreshness::None;
     if (!isNewProcess && message.m_sequence <= m_sequence)
@@ -77,9 +78,9 @@
     m_heardAt = activeTime;
     m_lastExchange = now;
     m_suspicions = message.m_suspicions;
-    const char *const reason = hasBegunDraining ? "it is draining"
+    const char *const reason = hasBegunDraining ? "draining"
                                : isNewProcess   ? "started"
-                                                : "heard";
+                                                : "heartbeat received";
     set(NodeState::Alive, isLeaving, reason, now, commands);
     return isNewProcess ? HeartbeatFreshness::FromNewProcess : HeartbeatFreshness::Fresh;
 }
@@ -91,16 +92,16 @@
     if (identity.m_incarnation < known || (isDead() && identity.m_incarnation == known))
         return false;
     const bool isNewProcess = identity.m_incarnation > known;
-    // Failure: a node restarts, and another data centre learns of it by a summary first. Its new
-    // heartbeats count from 1 and would all look older than the last one of the process before, so
-    // that the data centre it speaks for stays suspect.
+    // Failure guarded against: a node restarts, and another data centre learns of it from a summary
+    // first. The sequence numbers of its new heartbeats start at 1 and would all be below the last
+    // one of the former process, so that the data centre that it represents would stay suspect.
     if (isNewProcess)
         m_sequence = 0;
     const bool isLeaving = staysLeaving(isNewProcess);
     m_view.m_identity = identity;
     m_view.m_lastReceivedAt = now;
     m_heardAt = activeTime;
-    set(NodeState::Alive, isLeaving, "in its data centre's summary", now, commands);
+    set(NodeState::Alive, isLeaving, "listed in its data centre's summary", now, commands);
     return isNewProcess;
 }
 
@@ -145,15 +146,15 @@
     if (isUnlisted())
         setState(NodeState::Dead, "no longer in the VM list", now, commands);
     else if (isAlive())
-        setState(NodeState::Suspect, "no word from its data centre", now, commands);
+        setState(NodeState::Suspect, "no summary from its data centre", now, commands);
 }
 
 void NodeStateTracker::confirmDead(const NodeId &witness, Duration activeTime, TimePoint now,
                                    MembershipCommands &commands)
 {
     const std::string text = silentFor(silence(activeTime));
-    setState(NodeState::Dead, text + ", and " + witness.text() + " cannot hear it either", now,
-             commands);
+    setState(NodeState::Dead, text + ", and " + witness.text() + " receives nothing from it either",
+             now, commands);
 }
 
 } // namespace gypsumdale
--- a/src/fleet/notice_table.cpp
+++ b/src/fleet/notice_table.cpp
@@ -79,9 +79,9 @@
             result.push_back({notice, std::nullopt});
             continue;
         }
-        // The list lags: a VM that it shows first after its zone's notice may have been there
-        // before. It is held back until those under the notice are gone; one that then still
-        // answers is a new one.
+        // The list lags: a VM that it shows only after its zone's notice may have existed before.
+        // It gets no work until the VMs under the notice are gone; if it then still answers, it is
+        // a new one.
         const bool isByZone = notice.m_cause == LeavingCause::ZoneReclaim
                               && notice.m_zone == declaration.m_dataCentre;
         if (isByZone && now < kept.m_heldUntil)
--- a/src/fleet/observation_schedule.cpp
+++ b/src/fleet/observation_schedule.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// A load is told early when it changed by more than this part of the slots.
+/// A load is reported early if it changed by more than this part of the slots.
 constexpr int notableChangeDivisor = 8;
-/// The second owner speaks up when the first one was silent for so many intervals.
+/// Number of intervals of silence of the first owner after which the second one reports loads.
 constexpr int firstOwnerSilence = 3;
 
 bool isNotable(const UpstreamLoad &before, const UpstreamLoad &after)
--- a/src/fleet/peer_codec.cpp
+++ b/src/fleet/peer_codec.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Ages travel as milliseconds in 32 bits; the largest value stands for "never".
+/// Ages are sent as milliseconds in 32 bits; the largest value means "never".
 constexpr std::int32_t neverAge = std::numeric_limits<std::int32_t>::max();
 
 bool hasBody(const PeerRequestBody &body)
@@ -43,13 +43,13 @@
         return result;
     const Message &message = valueOf(result);
     if (message.protocol != g_peer_constants.PROTOCOL_VERSION)
-        return Error{ErrorId::PeerRefused, "another version of the peers' protocol"};
+        return Error{ErrorId::PeerRefused, "the peer uses a different protocol version"};
     if (!hasBody(message.body))
-        return Error{ErrorId::PeerMalformed, "a message of no known kind"};
+        return Error{ErrorId::PeerMalformed, "message of unknown kind"};
     return result;
 }
 
-/// A port or count that another process sent, kept inside what its type can hold.
+/// Clamps a port or count that another process sent to the range of its type.
 std::uint16_t portOf(std::int32_t port)
 {
     return static_cast<std::uint16_t>(
@@ -164,7 +164,7 @@
 {
     if (credential.empty())
         return true;
-    // Without a bound on its age, a proof that was once seen on the wire would be good for ever.
+    // Without a limit on its age, a proof that was once seen on the wire would be valid forever.
     if (std::abs(wallNow - request.sentAtMillis) > skewMillis)
         return false;
     const std::string expected = makeProof(credential, request);
--- a/src/fleet/peer_exchange.cpp
+++ b/src/fleet/peer_exchange.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// The most differences of one kind in one heartbeat; the rest goes with the next.
+/// Maximum number of changes of one kind in one heartbeat; the others follow in the next one.
 constexpr std::size_t differencesPerHeartbeat = 256;
-/// How many nodes of each other data centre are told of a notice; each tells its own data centre.
+/// Number of nodes of each other data centre that a notice is sent to; each forwards it within its
+/// own data centre.
 constexpr std::size_t noticeTargetsPerDataCentre = 2;
-/// The shortest time between two repairs of notices with the same peer.
+/// Minimum time between two exchanges of all notices with the same peer.
 constexpr Duration noticeRepairInterval = std::chrono::seconds(2);
-/// How often the own data centre's capacity is summed up anew.
+/// Interval at which the own data centre's capacity is recomputed.
 constexpr Duration capacityInterval = std::chrono::seconds(1);
 
 wire::PeerRequestBody noticesBody(const std::vector<LeavingNotice> &notices)
@@ -46,8 +47,8 @@
     PeerCursor &cursor = m_cursors[node];
     if (cursor.m_incarnation == incarnation)
         return cursor;
-    // Another process, or one that had to raise its incarnation: its versions and what it has of
-    // ours start anew.
+    // Another process, or one that raised its incarnation: its versions start at 0, and it has
+    // received none of the changes of this node.
     cursor = PeerCursor();
     cursor.m_incarnation = incarnation;
     return cursor;
@@ -175,15 +176,17 @@
 {
     const NodeId node(heartbeat.node);
     PeerCursor &cursor = cursorOf(node, heartbeat.incarnation);
-    // What the peer has seen counts only if it speaks of this incarnation: a restarted node's
-    // versions begin anew, and the peer's old number would hide its first differences.
+    // The versions that the peer has received are valid only for the incarnation that it names: the
+    // versions of a restarted node start again, and the peer's old number would hide its first
+    // changes.
     const bool knowsThis = heartbeat.receiverIncarnation == m_membership.self().m_incarnation;
     cursor.m_theirUpstreamsSeen = knowsThis ? heartbeat.upstreamsSeen : 0;
     cursor.m_theirTokensSeen = knowsThis ? heartbeat.tokensSeen : 0;
     cursor.m_theirInFlightSeen = knowsThis ? heartbeat.inFlightSeen : 0;
-    // A heartbeat on its way to the process that ran here before carries what that one lacked, not
-    // what this one does: its values are good, but they are not all up to its version. One that
-    // knew of no process here carries everything.
+    // A heartbeat that was sent to the former process on this node contains the changes that that
+    // process was missing, not those that this one is missing: its values are valid, but they are
+    // not complete up to its version. A heartbeat whose sender knew no process here contains
+    // everything.
     if (knowsThis || heartbeat.receiverIncarnation == 0) {
         cursor.m_upstreamsSeen = heartbeat.upstreamsVersion;
         cursor.m_tokensSeen = heartbeat.tokensVersion;
@@ -209,8 +212,8 @@
     const NodeView *view = m_membership.find(node);
     if (!view)
         return;
-    // One of the two missed a notice, which was sent once and may have been lost. Each sends what
-    // it has; copies are ignored.
+    // One of the two missed a notice, which was sent once and may have been lost. Each sends all of
+    // its notices; copies are ignored.
     TimePoint &sentAt = m_noticesSentAt[node];
     const std::vector<LeavingNotice> notices = m_upstreams.notices();
     if (notices.empty() || (sentAt != TimePoint() && now - sentAt < noticeRepairInterval))
@@ -239,7 +242,7 @@
     for (const LeavingNotice &notice : notices) {
         UpstreamCommands some = m_upstreams.onNotice(notice, source, now, wallNow);
         all.insert(all.end(), some.begin(), some.end());
-        // An entry VM that the notice concerns gets no duties and no jobs any more.
+        // An entry VM that a notice concerns gets no more duties and jobs.
         if (notice.m_vm.isEmpty())
             continue;
         const std::string reason(nameIn(leavingCauseNames, notice.m_cause));
@@ -320,7 +323,7 @@
     return commands;
 }
 
-// --- passing on -------------------------------------------------------------------------------
+// --- forwarding -------------------------------------------------------------------------------
 
 void PeerExchange::forward(MembershipCommands &&from, TimePoint now, WallMillis wallNow,
                            ExchangeCommands &commands)
@@ -356,7 +359,8 @@
     };
     for (UpstreamCommand &command : from)
         std::visit(visitor, command);
-    // Those that came together go together: a reclaimed data centre may be a thousand notices.
+    // Notices received together are forwarded together: reclaiming a data centre may mean a
+    // thousand notices.
     spread(toAll, true, commands);
     spread(toOwn, false, commands);
 }
--- a/src/fleet/rendezvous.cpp
+++ b/src/fleet/rendezvous.cpp
@@ -18,7 +18,7 @@
     const NodeId *m_node = nullptr;
 };
 
-/// Orders by weight, and by name where weights are equal, so that all processes agree.
+/// Orders by weight, and by name if the weights are equal, so that all processes agree.
 bool isHeavier(const Weighed &left, const Weighed &right)
 {
     if (left.m_weight != right.m_weight)
--- a/src/fleet/route_scope.cpp
+++ b/src/fleet/route_scope.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The data centres that have room for the service, the one with the most to spare first.
+/// Returns the data centres with free slots for the service, the one with the most first.
 std::vector<DataCentreId> withRoom(const ServiceId &service,
                                    const std::map<DataCentreId, ReceivedSummary> &summaries,
                                    Duration longestAge, TimePoint now)
@@ -40,13 +40,15 @@
     if (staysHere || (own.m_hasOpen && scope == RemoteScope::Never))
         return RouteOwn{};
     if (scope == RemoteScope::Never)
-        return RouteUnavailable{"no upstream here, and settings forbid other data centres"};
+        return RouteUnavailable{
+                "no upstream in this data centre, and the settings forbid other data centres"};
 
     std::vector<DataCentreId> others = withRoom(service, summaries, longestAge, now);
     if (others.empty() && own.m_hasOpen)
         return RouteOwn{};
     if (others.empty())
-        return RouteUnavailable{"no upstream here, and no other data centre has room"};
+        return RouteUnavailable{
+                "no upstream in this data centre, and no free capacity in another data centre"};
     return RouteRemote{std::move(others)};
 }
 
--- a/src/fleet/summary_table.cpp
+++ b/src/fleet/summary_table.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// The list comes rarely, and two nodes may send summaries in the same millisecond: it is taken by
-/// its own time, also from a summary that is no news itself.
+/// The list of nodes is sent rarely, and two nodes may send summaries in the same millisecond: it
+/// is therefore compared by its own time, and accepted even from a summary that is superseded.
 void takeNodeList(const DataCentreSummary &summary, bool isHeldStale, ReceivedSummary &held)
 {
     const bool isOld = summary.m_madeAt <= held.m_nodesMadeAt && !isHeldStale;
@@ -27,7 +27,7 @@
 bool SummaryTable::take(const DataCentreSummary &summary, SummarySource source, TimePoint now)
 {
     ReceivedSummary &held = m_held[summary.m_dataCentre];
-    // A sender whose clock runs ahead must not shut out the others for longer than this.
+    // A sender whose clock is ahead must not suppress the summaries of others for longer than this.
     const bool isStale = now - held.m_receivedAt > m_freshFor;
     takeNodeList(summary, isStale, held);
     if (summary.m_madeAt <= held.m_summary.m_madeAt && !isStale)
--- a/src/fleet/upstream_state_tracker.cpp
+++ b/src/fleet/upstream_state_tracker.cpp
@@ -10,11 +10,11 @@
 {
     m_view.m_declaration = declaration;
     m_view.m_stateSince = now;
-    m_view.m_reason = "not heard yet";
+    m_view.m_reason = "no message received yet";
     if (place == UpstreamLocality::Local)
         return;
     m_view.m_state = UpstreamState::Live;
-    m_view.m_reason = "declared; its own data centre watches it";
+    m_view.m_reason = "declared; probed by its own data centre";
 }
 
 void UpstreamStateTracker::setState(UpstreamState state, std::string reason, TimePoint now,
@@ -78,7 +78,7 @@
              commands);
 }
 
-// --- signs of life ----------------------------------------------------------------------------
+// --- answers ----------------------------------------------------------------------------------
 
 bool UpstreamStateTracker::recordLoad(const UpstreamLoad &load, TimePoint observedAt)
 {
@@ -107,14 +107,14 @@
     if (m_isVmLeaving || isHeld)
         return;
     m_view.m_deadline = 0;
-    setState(UpstreamState::Suspect, "started anew", now, commands);
+    setState(UpstreamState::Suspect, "restarted", now, commands);
 }
 
 void UpstreamStateTracker::recoverIfAnswered(TimePoint now, UpstreamCommands &commands)
 {
     reviveIfRestarted(now, commands);
     if (m_view.m_state == UpstreamState::Suspect && now >= m_penaltyUntil)
-        setState(UpstreamState::Live, "it answers", now, commands);
+        setState(UpstreamState::Live, "answered", now, commands);
 }
 
 // --- failures ---------------------------------------------------------------------------------
@@ -136,7 +136,7 @@
 {
     m_suspectedBy.insert(self);
     if (m_view.m_state == UpstreamState::Live)
-        setState(UpstreamState::Suspect, "probes fail: " + reason, now, commands);
+        setState(UpstreamState::Suspect, "probes failed: " + reason, now, commands);
 }
 
 void UpstreamStateTracker::recordRequestFailure(const std::string &reason, TimePoint penaltyUntil,
@@ -167,7 +167,7 @@
     else if (m_view.m_state == UpstreamState::Live && isHere)
         settleLive(limits, now, commands);
     else if (m_view.m_state == UpstreamState::Suspect && !isHere && now >= m_penaltyUntil)
-        setState(UpstreamState::Live, "the penalty is over", now, commands);
+        setState(UpstreamState::Live, "the penalty expired", now, commands);
 }
 
 void UpstreamStateTracker::settleLeaving(bool isListed, const SilenceLimits &limits, TimePoint now,
@@ -175,14 +175,15 @@
 {
     const bool isMarked = m_isVmLeaving || m_leavingIncarnation.has_value();
     if (!isMarked && now >= m_heldUntil) {
-        setState(UpstreamState::Suspect, "held back no longer", now, commands);
+        setState(UpstreamState::Suspect, "the hold after its zone's reclaim notice expired", now,
+                 commands);
         return;
     }
     const bool isSilent = now - m_lastAnswer >= limits.m_gone;
     const bool isOver = m_view.m_deadline != 0 && wallNow >= m_view.m_deadline;
     const bool isDelisted = m_isVmLeaving && !isListed;
     if (isSilent && (isOver || isDelisted))
-        setState(UpstreamState::Gone, "it left", now, commands);
+        setState(UpstreamState::Gone, "silent after leaving", now, commands);
 }
 
 void UpstreamStateTracker::settleLive(const SilenceLimits &limits, TimePoint now,
@@ -194,7 +195,7 @@
         const std::string reason = m_suspectedBy.begin()->text() + " cannot reach it";
         setState(UpstreamState::Suspect, reason, now, commands);
     } else if (silence >= limits.m_longest) {
-        setState(UpstreamState::Suspect, "nobody spoke of it lately", now, commands);
+        setState(UpstreamState::Suspect, "no recent report about it", now, commands);
     }
 }
 
--- a/src/fleet/upstream_table.cpp
+++ b/src/fleet/upstream_table.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// A process that is gone is probed this much more rarely, in case it comes back.
+/// Factor for the probe interval of a process that is gone, in case it returns.
 constexpr int goneProbeFactor = 4;
-/// How often all entries are gone through; what runs out in between is seen so much later. At 1,100
-/// upstreams a sweep on every tick was most of the control work of a node.
+/// Interval at which all entries are visited; expiry is noticed with this delay. At 1,100 upstreams
+/// a sweep on every tick was most of the control work of a node.
 constexpr Duration sweepInterval = std::chrono::milliseconds(200);
 
 } // namespace
@@ -104,8 +104,8 @@
     const bool isSizeNew = wasSmall != m_duty.isFullMesh();
     for (auto &[upstream, entry] : m_entries) {
         chooseOwners(entry);
-        // A new owner does not know what this node has there; nor, when the data centre shrank to a
-        // small one, do the nodes that were not told before.
+        // A new owner does not know this node's requests there; nor, if the data centre shrank to a
+        // full mesh, do the nodes that received no reports before.
         if (entry.m_tracker.view().m_ownInFlight > 0 || isSizeNew)
             m_inFlightChanges.touch(entry.m_key);
     }
@@ -154,7 +154,8 @@
     const NoticeStatus news = m_notices.take(notice, now, wallNow);
     if (news == NoticeStatus::Known)
         return commands;
-    // After a long cut an old zone notice may arrive when the zone has new VMs; it is not for them.
+    // After a long partition an old zone notice may arrive when the zone has new VMs, to which it
+    // doesn't apply.
     if (news == NoticeStatus::Late && notice.m_cause == LeavingCause::ZoneReclaim)
         return commands;
     applyNotice(notice, now, commands);
@@ -237,8 +238,8 @@
 {
     UpstreamCommands commands;
     UpstreamEntry *entry = m_entries.find(upstream);
-    // A probe may fail when this node no longer owns the upstream. Its suspicion would stand for
-    // good, as only the next probe takes it back: requests avoided a sound upstream until the
+    // A probe may fail after this node has lost the ownership of the upstream. Its suspicion would
+    // be permanent, as only the next probe clears it: requests avoided a working upstream until the
     // process restarted.
     if (!entry || !entry->m_isOwned)
         return commands;
@@ -258,7 +259,7 @@
     if (!entry)
         return commands;
     entry->m_tracker.recordRequestFailure(reason, now + m_settings.m_failurePenalty, now, commands);
-    // An owner finds out at once whether the upstream or only the connection was lost.
+    // An owner detects immediately whether the upstream or only the connection was lost.
     entry->m_nextProbe = std::min(entry->m_nextProbe, now);
     return commands;
 }
@@ -271,7 +272,7 @@
     return commands;
 }
 
-// --- what owners share ------------------------------------------------------------------------
+// --- reports of owners ------------------------------------------------------------------------
 
 void UpstreamTable::shareIfDue(UpstreamEntry &entry, TimePoint now)
 {
@@ -317,7 +318,7 @@
     const bool isOwner = entry->m_owners.includes(from);
     if (entry->m_owners.isFirst(from))
         entry->m_schedule.recordFirstOwnerReport(now);
-    // Leaving and gone travel as notices, which name their cause; here they say nothing.
+    // Leaving and gone are sent as notices, which name their cause; here they carry no information.
     if (observation.m_state == UpstreamState::Suspect) {
         if (isOwner)
             entry->m_tracker.addSuspicion(from);
@@ -413,8 +414,8 @@
     const bool isGone = view.m_state == UpstreamState::Gone;
     if (isGone && !declaration.m_vm.isEmpty())
         return;
-    // The first probe is at once, the second at a time of its own, so that those that came in one
-    // list do not stay in step.
+    // The first probe is sent immediately, the second at an offset derived from the key, so that
+    // upstreams that were added by the same list are not probed at the same time.
     const bool isFirst = entry.m_nextProbe == TimePoint();
     const Duration phase = Duration(entry.m_key % interval.count());
     entry.m_nextProbe = now + (isFirst ? phase : interval * (isGone ? goneProbeFactor : 1));
@@ -422,7 +423,7 @@
             ProbeUpstream{declaration.m_upstream, declaration.m_address, declaration.m_port});
 }
 
-// --- what is known ----------------------------------------------------------------------------
+// --- queries ----------------------------------------------------------------------------------
 
 const UpstreamView *UpstreamTable::find(const UpstreamId &upstream) const
 {
