--- a/include/gypsumdale/fleet/config_replica.hpp
+++ b/include/gypsumdale/fleet/config_replica.hpp
@@ -43,9 +43,9 @@
     void fillDigest(ConfigDigest &digest) const;
 
 private:
-    bool takeObject(const ConfigObject &object);
-    void endMissing(const ConfigChanges &snapshot, ConfigObjects &news);
-    void forgetDeletions();
+    bool applyObject(const ConfigObject &object);
+    void deleteMissing(const ConfigChanges &snapshot, ConfigObjects &changed);
+    void discardDeletions();
     void rehash();
 
     std::map<ConfigKey, ConfigObject> m_objects;
--- a/include/gypsumdale/fleet/config_store.hpp
+++ b/include/gypsumdale/fleet/config_store.hpp
@@ -149,23 +149,23 @@
     };
 
     bool isLocal(const NodeId &node) const { return m_peers.contains(node); }
-    bool meetPeer(const ConfigDigestFrom &sender);
-    bool takeChanges(const ConfigChanges &changes, TimePoint now, ConfigCommands &commands);
+    bool recordPeer(const ConfigDigestFrom &sender);
+    bool applyChanges(const ConfigChanges &changes, TimePoint now, ConfigCommands &commands);
     void addCandidate(const ConfigObject &object, TimePoint now, ConfigCommands &commands);
     void confirm(WallMillis time, TimePoint now);
     void compare(const ConfigDigestFrom &peer, TimePoint now, ConfigCommands &commands);
     void recordAnswer(const ConfigUpdate &update);
     void ask(const NodeId &peer, TimePoint now, ConfigCommands &commands);
-    void askForReadiness(ConfigCommands &commands);
-    void spreadDigest(ConfigCommands &commands) const;
-    void spreadChanges(const ConfigChanges &changes, ConfigCommands &commands) const;
-    void settle(ConfigCommands &commands);
+    void askUnansweredPeers(ConfigCommands &commands);
+    void sendDigestToPeers(ConfigCommands &commands) const;
+    void sendChangesToPeers(const ConfigChanges &changes, ConfigCommands &commands) const;
+    void updateReadiness(ConfigCommands &commands);
     void putSafeInForce(ConfigCommands &commands);
     std::string readyReason() const;
     void onPlatformAnswer(const ConfigChanges &changes, WallMillis askedAt, TimePoint now,
                           ConfigCommands &commands);
-    void usePlatform(TimePoint now, ConfigCommands &commands);
-    bool isNewsOverdue(TimePoint now) const;
+    void startPlatformCall(TimePoint now, ConfigCommands &commands);
+    bool isPlatformReadOverdue(TimePoint now) const;
     ConfigAsk makeAsk() const;
 
     ConfigStoreSetup m_setup;
@@ -179,14 +179,14 @@
     ConfigVersion m_floor = 0;
     ConfigVersion m_highestInForce = 0;
     WallMillis m_confirmedAsOf = 0;
-    TimePoint m_confirmedSeenAt;
-    TimePoint m_mayAskAt;
+    TimePoint m_confirmationReceivedAt;
+    TimePoint m_nextAskAt;
     bool m_ready = false;
-    bool m_readThisLife = false;
-    bool m_platformCallOut = false;
+    bool m_hasReadPlatform = false;
+    bool m_isPlatformCallPending = false;
     bool m_mustList = true;
     Duration m_backoff = Duration::zero();
-    TimePoint m_platformNotBefore;
+    TimePoint m_nextPlatformCallAt;
     TimePoint m_nextTimer;
 };
 
--- a/include/gypsumdale/fleet/config_writer.hpp
+++ b/include/gypsumdale/fleet/config_writer.hpp
@@ -121,7 +121,7 @@
 
 private:
     ConfigWriterStep write() const;
-    ConfigWriterStep readAgain(const Error &error);
+    ConfigWriterStep readBack(const Error &error);
 
     ConfigEdit m_edit;
     bool m_answerLost = false;
--- a/include/gypsumdale/fleet/heartbeat_pacing.hpp
+++ b/include/gypsumdale/fleet/heartbeat_pacing.hpp
@@ -27,8 +27,8 @@
     Duration dueAfter(HeartbeatRole role, NodeState state) const;
 
 private:
-    Duration m_shortest;
-    Duration m_longest;
+    Duration m_minInterval;
+    Duration m_maxInterval;
     double m_bytesPerSecond;
     double m_heartbeatBytes = 150;
     Duration m_interval;
--- a/include/gypsumdale/fleet/membership.hpp
+++ b/include/gypsumdale/fleet/membership.hpp
@@ -77,14 +77,14 @@
 
     /// Records the size of a sent heartbeat, from which the interval is computed. Complexity:
     /// constant.
-    void recordHeartbeatBytes(std::size_t bytes) { m_pace.recordBytes(bytes); }
+    void recordHeartbeatBytes(std::size_t bytes) { m_pacer.recordBytes(bytes); }
 
     const NodeIdentity &self() const { return m_settings.m_self; }
     bool isDraining() const { return m_isDraining; }
 
     /// Returns the time between exchanges with a node, as computed from the number of nodes and the
     /// budget.
-    Duration heartbeatInterval() const { return m_pace.interval(); }
+    Duration heartbeatInterval() const { return m_pacer.interval(); }
 
     /// Returns all known nodes except this one, those of the own data centre first. Complexity:
     /// linear.
@@ -121,28 +121,28 @@
     };
 
     Peer &ensure(const NodeIdentity &identity, TimePoint now);
-    Received take(const MembershipMessage &message, TimePoint now);
-    void takeSummary(const DataCentreSummary &summary, bool isDirect, TimePoint now,
-                     MembershipCommands &commands);
-    void takeRemoteNodes(const DataCentreSummary &summary, TimePoint now,
-                         MembershipCommands &commands);
-    void takeSelfSuspicion(const MembershipMessage &message, MembershipCommands &commands);
+    Received receive(const MembershipMessage &message, TimePoint now);
+    void applySummary(const DataCentreSummary &summary, bool isDirect, TimePoint now,
+                      MembershipCommands &commands);
+    void applyRemoteNodes(const DataCentreSummary &summary, TimePoint now,
+                          MembershipCommands &commands);
+    void refuteSelfSuspicion(const MembershipMessage &message, MembershipCommands &commands);
     void detectSilence(Peer &peer, TimePoint now, MembershipCommands &commands);
     /// Returns a live node that does not receive the peer's heartbeats either; nothing if there is
     /// none.
-    std::optional<NodeId> witnessAgainst(const NodeIdentity &silent) const;
+    std::optional<NodeId> findWitness(const NodeIdentity &silent) const;
     bool isHeartbeatDue(const Peer &peer, TimePoint now) const;
     /// Returns the number of nodes of the own data centre that are not dead, without this one.
     std::size_t meshSize() const;
-    Duration summaryPatience() const;
+    Duration summaryTimeout() const;
     /// Returns whether a reachable data centre no longer lists the node.
-    bool isLeftOut(const Peer &peer, TimePoint now) const;
-    void forgetOldDead(TimePoint now);
+    bool isUnlistedRemotely(const Peer &peer, TimePoint now) const;
+    void removeExpired(TimePoint now);
     void sendSummaries(TimePoint now, WallMillis wallNow, MembershipCommands &commands);
     std::optional<NodeIdentity> summaryTarget(const DataCentreId &dataCentre,
                                               const SummarySender &link) const;
     DataCentreSummary ownSummary(SummarySender &link, WallMillis wallNow) const;
-    MembershipMessage messageAcross(const DataCentreId &dataCentre, WallMillis wallNow);
+    MembershipMessage messageToDataCentre(const DataCentreId &dataCentre, WallMillis wallNow);
     void attachNodes(Peer &peer, MembershipMessage &message, TimePoint now);
     std::vector<NodeIdentity> ownNodes() const;
     MembershipMessage baseMessage();
@@ -151,11 +151,11 @@
 
     MembershipSettings m_settings;
     std::map<NodeId, Peer> m_peers;
-    std::map<DataCentreId, SummarySender> m_links;
+    std::map<DataCentreId, SummarySender> m_senders;
     SummaryTable m_summaries;
     std::vector<ServiceCapacity> m_services;
-    ActiveTimeClock m_listening;
-    HeartbeatPacing m_pace;
+    ActiveTimeClock m_clock;
+    HeartbeatPacing m_pacer;
     std::int64_t m_sequence = 0;
     bool m_isDraining = false;
 };
--- a/include/gypsumdale/fleet/node_state_tracker.hpp
+++ b/include/gypsumdale/fleet/node_state_tracker.hpp
@@ -37,7 +37,7 @@
     bool isLeaving() const { return m_view.m_isLeaving; }
     bool isOpen() const { return m_view.isOpen(); }
     bool isDead() const { return m_view.m_state == NodeState::Dead; }
-    Duration silence(Duration activeTime) const { return activeTime - m_heardAt; }
+    Duration silence(Duration activeTime) const { return activeTime - m_receivedAt; }
     /// Returns the time at which its last heartbeat arrived.
     TimePoint lastExchange() const { return m_lastExchange; }
 
@@ -80,7 +80,7 @@
     NodeView m_view;
     std::int64_t m_sequence = 0;
     /// Running time of this process at the last sign of life.
-    Duration m_heardAt{};
+    Duration m_receivedAt{};
     TimePoint m_lastExchange;
     std::vector<NodeSuspicion> m_suspicions;
     /// Whether the cloud's list has ever shown the node, and whether its last one does.
--- a/include/gypsumdale/fleet/notice_table.hpp
+++ b/include/gypsumdale/fleet/notice_table.hpp
@@ -58,7 +58,7 @@
                                         TimePoint now) const;
 
 private:
-    struct Kept
+    struct RetainedNotice
     {
         LeavingNotice m_notice;
         /// Time until which a VM of the zone that appears gets no work.
@@ -68,7 +68,7 @@
 
     Duration m_listLag;
     Duration m_retention;
-    std::map<std::string, Kept> m_kept;
+    std::map<std::string, RetainedNotice> m_retained;
     /// Ids of expired notices, with the time at which they are removed.
     std::map<std::string, TimePoint> m_expired;
     std::int64_t m_digest = 0;
--- a/include/gypsumdale/fleet/observation_schedule.hpp
+++ b/include/gypsumdale/fleet/observation_schedule.hpp
@@ -17,7 +17,7 @@
     UpstreamState state() const { return m_state; }
 
     /// Records that a report of the first owner arrived.
-    void recordFirstOwnerReport(TimePoint now) { m_firstOwnerSpokeAt = now; }
+    void recordFirstOwnerReport(TimePoint now) { m_firstOwnerReportedAt = now; }
 
     /// Returns whether a report is due now, and if so records it as sent. `interval` is the maximum
     /// time between two reports, `probeInterval` the one between two probes.
@@ -27,8 +27,8 @@
 private:
     UpstreamLoad m_load;
     UpstreamState m_state = UpstreamState::Gone;
-    TimePoint m_toldAt;
-    TimePoint m_firstOwnerSpokeAt;
+    TimePoint m_sentAt;
+    TimePoint m_firstOwnerReportedAt;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/peer_exchange.hpp
+++ b/include/gypsumdale/fleet/peer_exchange.hpp
@@ -109,28 +109,28 @@
     struct PeerCursor
     {
         Incarnation m_incarnation = 0;
-        std::int64_t m_upstreamsSeen = 0;
-        std::int64_t m_tokensSeen = 0;
-        std::int64_t m_inFlightSeen = 0;
-        std::int64_t m_theirUpstreamsSeen = 0;
-        std::int64_t m_theirTokensSeen = 0;
-        std::int64_t m_theirInFlightSeen = 0;
+        std::int64_t m_receivedUpstreams = 0;
+        std::int64_t m_receivedTokens = 0;
+        std::int64_t m_receivedInFlight = 0;
+        std::int64_t m_ackedUpstreams = 0;
+        std::int64_t m_ackedTokens = 0;
+        std::int64_t m_ackedInFlight = 0;
     };
 
     wire::Heartbeat compose(const MembershipMessage &message, const NodeIdentity &to, TimePoint now,
                             WallMillis wallNow);
-    void takeRest(const wire::Heartbeat &heartbeat, TimePoint now, ExchangeCommands &commands);
-    void takeDifferences(const wire::Heartbeat &heartbeat, TimePoint now,
-                         ExchangeCommands &commands);
+    void applyHeartbeat(const wire::Heartbeat &heartbeat, TimePoint now,
+                        ExchangeCommands &commands);
+    void applyChanges(const wire::Heartbeat &heartbeat, TimePoint now, ExchangeCommands &commands);
     void repairNotices(const wire::Heartbeat &heartbeat, TimePoint now, ExchangeCommands &commands);
-    ExchangeCommands takeNotices(const std::vector<LeavingNotice> &notices, NoticeSource source,
-                                 TimePoint now, WallMillis wallNow);
-    void spread(const std::vector<LeavingNotice> &notices, bool toOtherDataCentres,
-                ExchangeCommands &commands);
+    ExchangeCommands applyNotices(const std::vector<LeavingNotice> &notices, NoticeSource source,
+                                  TimePoint now, WallMillis wallNow);
+    void sendNotices(const std::vector<LeavingNotice> &notices, bool toOtherDataCentres,
+                     ExchangeCommands &commands);
     void forward(MembershipCommands &&from, TimePoint now, WallMillis wallNow,
                  ExchangeCommands &commands);
     void forward(UpstreamCommands &&from, ExchangeCommands &commands);
-    void forgetCursors();
+    void removeCursors();
     PeerCursor &cursorOf(const NodeId &node, Incarnation incarnation);
     bool isOwnDataCentre(const std::string &dataCentre) const;
 
@@ -138,7 +138,7 @@
     UpstreamTable m_upstreams;
     std::map<NodeId, PeerCursor> m_cursors;
     std::map<NodeId, TimePoint> m_noticesSentAt;
-    TimePoint m_capacityAt;
+    TimePoint m_capacityUpdatedAt;
     std::map<MemberId, std::int64_t> m_ownTokens;
     ChangeLog<MemberId> m_tokenChanges;
     wire::ConfigDigest m_config;
--- a/include/gypsumdale/fleet/probe_duty.hpp
+++ b/include/gypsumdale/fleet/probe_duty.hpp
@@ -44,10 +44,10 @@
 
 private:
     std::vector<NodeId> m_nodes;
-    std::size_t m_owners;
+    std::size_t m_ownersPerUpstream;
     std::size_t m_fullMeshLimit;
-    Duration m_shortest;
-    Duration m_longest;
+    Duration m_minInterval;
+    Duration m_maxInterval;
     double m_probesPerSecond;
     std::size_t m_owned = 0;
 };
--- a/include/gypsumdale/fleet/summary_table.hpp
+++ b/include/gypsumdale/fleet/summary_table.hpp
@@ -32,17 +32,17 @@
 class SummaryTable
 {
 public:
-    /// A data centre without a summary for longer than `freshFor` is unreachable.
-    explicit SummaryTable(Duration freshFor);
+    /// A data centre without a summary for longer than `maxAge` is unreachable.
+    explicit SummaryTable(Duration maxAge);
 
     /// Returns false if the summary is superseded. Its list of nodes may be used nevertheless.
     bool take(const DataCentreSummary &summary, SummarySource source, TimePoint now);
 
-    const std::map<DataCentreId, ReceivedSummary> &all() const { return m_held; }
+    const std::map<DataCentreId, ReceivedSummary> &all() const { return m_summaries; }
     /// Returns the summary of a data centre; one must be present.
     const DataCentreSummary &of(const DataCentreId &dataCentre) const
     {
-        return m_held.at(dataCentre).m_summary;
+        return m_summaries.at(dataCentre).m_summary;
     }
     /// Returns whether a recent summary of the data centre is present.
     bool isReachable(const DataCentreId &dataCentre, TimePoint now) const;
@@ -52,13 +52,13 @@
     /// Returns the summaries that a peer of the own data centre was not sent yet, and records them
     /// as sent. Lists of nodes are included only where they are new. Complexity: linear in the
     /// number of data centres.
-    std::vector<DataCentreSummary> unsentFor(SentSummaries &told) const;
+    std::vector<DataCentreSummary> unsentFor(SentSummaries &sentToPeer) const;
 
 private:
-    Duration m_freshFor;
-    std::map<DataCentreId, ReceivedSummary> m_held;
+    Duration m_maxAge;
+    std::map<DataCentreId, ReceivedSummary> m_summaries;
     /// Data centres whose summary was received from one of their own nodes.
-    std::set<DataCentreId> m_toSpread;
+    std::set<DataCentreId> m_toForward;
 };
 
 /// Schedule of the own summaries that are sent to one other data centre.
@@ -72,7 +72,7 @@
     std::size_t failures() const { return m_failures; }
     void fail() { ++m_failures; }
     /// Sets the digest of the own data centre's list that the other one reported to have.
-    void setRemoteNodesDigest(std::int64_t digest) { m_heldThere = digest; }
+    void setRemoteNodesDigest(std::int64_t digest) { m_remoteNodesDigest = digest; }
     /// Counts a summary. Returns whether it includes the list of nodes, as the other data centre
     /// has a different one or none was sent in so many summaries.
     bool includesNodeList(std::int64_t digest, int summariesPerNodeList);
@@ -80,8 +80,8 @@
 private:
     TimePoint m_lastSent;
     std::size_t m_failures = 0;
-    int m_sinceNodeList = 0;
-    std::int64_t m_heldThere = 0;
+    int m_summariesSinceNodeList = 0;
+    std::int64_t m_remoteNodesDigest = 0;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/fleet/upstream_state_tracker.hpp
+++ b/include/gypsumdale/fleet/upstream_state_tracker.hpp
@@ -88,10 +88,10 @@
 private:
     void setState(UpstreamState state, std::string reason, TimePoint now,
                   UpstreamCommands &commands);
-    void reviveIfRestarted(TimePoint now, UpstreamCommands &commands);
-    void settleLeaving(bool isListed, const SilenceLimits &limits, TimePoint now,
+    void recoverIfRestarted(TimePoint now, UpstreamCommands &commands);
+    void updateLeaving(bool isListed, const SilenceLimits &limits, TimePoint now,
                        WallMillis wallNow, UpstreamCommands &commands);
-    void settleLive(const SilenceLimits &limits, TimePoint now, UpstreamCommands &commands);
+    void updateLive(const SilenceLimits &limits, TimePoint now, UpstreamCommands &commands);
 
     UpstreamView m_view;
     /// Time of the upstream's last answer, to this node or to an owner that reported it.
--- a/include/gypsumdale/fleet/upstream_table.hpp
+++ b/include/gypsumdale/fleet/upstream_table.hpp
@@ -129,19 +129,19 @@
     UpstreamEntry &declare(const UpstreamDeclaration &declaration, TimePoint now,
                            UpstreamCommands &commands);
     void remove(const UpstreamId &upstream);
-    void chooseOwners(UpstreamEntry &entry);
-    void applyKeptNotices(UpstreamEntry &entry, TimePoint now, UpstreamCommands &commands);
+    void selectOwners(UpstreamEntry &entry);
+    void applyRetainedNotices(UpstreamEntry &entry, TimePoint now, UpstreamCommands &commands);
     void applyNotice(const LeavingNotice &notice, TimePoint now, UpstreamCommands &commands);
-    void shareIfDue(UpstreamEntry &entry, TimePoint now);
+    void reportIfDue(UpstreamEntry &entry, TimePoint now);
     void probeIfDue(UpstreamEntry &entry, Duration interval, TimePoint now,
                     UpstreamCommands &commands);
-    void forgetOld(TimePoint now);
+    void removeExpired(TimePoint now);
     static void sumInFlight(UpstreamEntry &entry, int own);
-    bool isHere(const UpstreamDeclaration &declaration) const
+    bool isLocal(const UpstreamDeclaration &declaration) const
     {
         return declaration.m_dataCentre == m_settings.m_dataCentre;
     }
-    UpstreamLocality placeOf(const UpstreamDeclaration &declaration) const;
+    UpstreamLocality localityOf(const UpstreamDeclaration &declaration) const;
 
     UpstreamTableSettings m_settings;
     UpstreamSet m_entries;
--- a/src/fleet/config_peers.cpp
+++ b/src/fleet/config_peers.cpp
@@ -72,7 +72,7 @@
 
 bool ConfigPeers::isSafe(ConfigVersion version, TimePoint learnedAt) const
 {
-    const auto knowsIt = [version](const auto &peer) {
+    const auto knowsVersion = [version](const auto &peer) {
         return peer.second.m_completeTo >= version;
     };
     const auto wasGone = [learnedAt](const auto &peer) {
@@ -81,7 +81,7 @@
         // answer of this node.
         return peer.second.m_goneAfter > learnedAt;
     };
-    return std::any_of(m_peers.begin(), m_peers.end(), knowsIt)
+    return std::any_of(m_peers.begin(), m_peers.end(), knowsVersion)
            || std::all_of(m_peers.begin(), m_peers.end(), wasGone);
 }
 
--- a/src/fleet/config_replica.cpp
+++ b/src/fleet/config_replica.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Maximum number of retained deletions; a request for changes since before them gets a snapshot.
-constexpr std::size_t mostDeletions = 1000;
+constexpr std::size_t maxRetainedDeletions = 1000;
 
 /// Returns a text that is unique to the object's version.
 std::string summaryOf(const ConfigObject &object)
@@ -24,27 +24,27 @@
 
 ConfigObjects ConfigReplica::take(const ConfigChanges &changes)
 {
-    ConfigObjects news;
+    ConfigObjects changed;
     if (!isContiguous(changes) || changes.m_upTo < m_completeTo)
-        return news;
+        return changed;
     for (const auto &object : changes.m_objects) {
-        if (takeObject(object))
-            news.push_back(object);
+        if (applyObject(object))
+            changed.push_back(object);
     }
     const bool isSnapshot = changes.m_from == 0;
     if (isSnapshot)
-        endMissing(changes, news);
-    const bool hasSkipped = isSnapshot && changes.m_upTo > m_completeTo;
+        deleteMissing(changes, changed);
+    const bool isHistoryIncomplete = isSnapshot && changes.m_upTo > m_completeTo;
     m_completeTo = changes.m_upTo;
-    if (!news.empty())
+    if (!changed.empty())
         rehash();
     // A snapshot doesn't show which objects were created and deleted since the known version.
-    if (hasSkipped || m_deletions > mostDeletions)
-        forgetDeletions();
-    return news;
+    if (isHistoryIncomplete || m_deletions > maxRetainedDeletions)
+        discardDeletions();
+    return changed;
 }
 
-bool ConfigReplica::takeObject(const ConfigObject &object)
+bool ConfigReplica::applyObject(const ConfigObject &object)
 {
     auto &known = m_objects[object.m_key];
     if (known.m_version >= object.m_version)
@@ -53,7 +53,7 @@
     return true;
 }
 
-void ConfigReplica::endMissing(const ConfigChanges &snapshot, ConfigObjects &news)
+void ConfigReplica::deleteMissing(const ConfigChanges &snapshot, ConfigObjects &changed)
 {
     std::set<ConfigKey> present;
     for (const auto &object : snapshot.m_objects)
@@ -63,7 +63,7 @@
         if (!isMissing || known.m_version > snapshot.m_upTo)
             continue;
         known = {key, snapshot.m_upTo, {}, true};
-        news.push_back(known);
+        changed.push_back(known);
     }
 }
 
@@ -89,7 +89,7 @@
     if (version <= m_completeTo)
         return;
     m_completeTo = version;
-    forgetDeletions();
+    discardDeletions();
 }
 
 void ConfigReplica::fillDigest(ConfigDigest &digest) const
@@ -100,7 +100,7 @@
     digest.m_highest = m_highest;
 }
 
-void ConfigReplica::forgetDeletions()
+void ConfigReplica::discardDeletions()
 {
     m_historyFrom = m_completeTo;
     std::erase_if(m_objects, [](const auto &entry) { return entry.second.m_deleted; });
--- a/src/fleet/config_store.cpp
+++ b/src/fleet/config_store.cpp
@@ -16,9 +16,9 @@
 
 ConfigCommands ConfigStore::start(TimePoint now)
 {
-    m_confirmedSeenAt = now;
-    m_mayAskAt = now;
-    m_platformNotBefore = now;
+    m_confirmationReceivedAt = now;
+    m_nextAskAt = now;
+    m_nextPlatformCallAt = now;
     m_nextTimer = now;
     return onTimer(now);
 }
@@ -30,8 +30,8 @@
         return commands;
     m_nextTimer = now + m_setup.m_askInterval;
     if (!m_ready)
-        askForReadiness(commands);
-    usePlatform(now, commands);
+        askUnansweredPeers(commands);
+    startPlatformCall(now, commands);
     return commands;
 }
 
@@ -44,7 +44,7 @@
 {
     ConfigCommands commands;
     m_liveNodes.assign(nodes.begin(), nodes.end());
-    usePlatform(now, commands);
+    startPlatformCall(now, commands);
     return commands;
 }
 
@@ -56,9 +56,9 @@
     const auto hashBefore = digest().m_digest.m_hash;
     onPlatformAnswer(snapshot, askedAt, now, commands);
     if (digest().m_digest.m_hash != hashBefore)
-        spreadDigest(commands);
-    usePlatform(now, commands);
-    settle(commands);
+        sendDigestToPeers(commands);
+    startPlatformCall(now, commands);
+    updateReadiness(commands);
     return commands;
 }
 
@@ -69,36 +69,36 @@
     if (!m_known.isContiguous(changes))
         return onPlatformTooOld(now);
     onPlatformAnswer(changes, askedAt, now, commands);
-    spreadChanges(changes, commands);
-    usePlatform(now, commands);
-    settle(commands);
+    sendChangesToPeers(changes, commands);
+    startPlatformCall(now, commands);
+    updateReadiness(commands);
     return commands;
 }
 
 ConfigCommands ConfigStore::onPlatformTooOld(TimePoint now)
 {
     ConfigCommands commands;
-    m_platformCallOut = false;
+    m_isPlatformCallPending = false;
     m_mustList = true;
-    usePlatform(now, commands);
+    startPlatformCall(now, commands);
     return commands;
 }
 
 ConfigCommands ConfigStore::onPlatformFailed(TimePoint now)
 {
-    m_platformCallOut = false;
+    m_isPlatformCallPending = false;
     m_backoff = std::min(std::max(2 * m_backoff, m_setup.m_firstBackoff), m_setup.m_longestBackoff);
-    m_platformNotBefore = now + m_backoff;
+    m_nextPlatformCallAt = now + m_backoff;
     return {};
 }
 
 ConfigCommands ConfigStore::onDigest(const ConfigDigestFrom &digest, TimePoint now)
 {
     ConfigCommands commands;
-    if (!meetPeer(digest))
+    if (!recordPeer(digest))
         return commands;
     compare(digest, now, commands);
-    settle(commands);
+    updateReadiness(commands);
     return commands;
 }
 
@@ -118,17 +118,17 @@
     // An answer to a former incarnation shows nothing about this one.
     const bool isMine = update.m_answerTo == m_setup.m_node
                         && update.m_answerToIncarnation == m_setup.m_incarnation;
-    if ((isAnswer && !isMine) || !meetPeer(sender))
+    if ((isAnswer && !isMine) || !recordPeer(sender))
         return commands;
-    const bool hasChanged = takeChanges(update.m_changes, now, commands);
+    const bool hasChanged = applyChanges(update.m_changes, now, commands);
     compare(sender, now, commands);
     if (isAnswer)
         recordAnswer(update);
     else
         commands.emplace_back(SendDigest{sender.m_node, digest()});
     if (hasChanged && !isLocal(sender.m_node))
-        spreadDigest(commands);
-    settle(commands);
+        sendDigestToPeers(commands);
+    updateReadiness(commands);
     return commands;
 }
 
@@ -136,13 +136,13 @@
 {
     ConfigCommands commands;
     if (m_peers.recordGone(peer, since))
-        settle(commands);
+        updateReadiness(commands);
     return commands;
 }
 
 /// Records the sender of a digest and what it reports about its data centre. Returns false for a
 /// superseded incarnation.
-bool ConfigStore::meetPeer(const ConfigDigestFrom &sender)
+bool ConfigStore::recordPeer(const ConfigDigestFrom &sender)
 {
     if (!m_peers.recordIncarnation(sender.m_node, sender.m_incarnation))
         return false;
@@ -154,12 +154,13 @@
 }
 
 /// Applies changes and adds the new objects to the candidates. Returns whether there were any.
-bool ConfigStore::takeChanges(const ConfigChanges &changes, TimePoint now, ConfigCommands &commands)
+bool ConfigStore::applyChanges(const ConfigChanges &changes, TimePoint now,
+                               ConfigCommands &commands)
 {
-    const auto news = m_known.take(changes);
-    for (const auto &object : news)
+    const auto changed = m_known.take(changes);
+    for (const auto &object : changed)
         addCandidate(object, now, commands);
-    return !news.empty();
+    return !changed.empty();
 }
 
 void ConfigStore::addCandidate(const ConfigObject &object, TimePoint now, ConfigCommands &commands)
@@ -189,7 +190,7 @@
     if (time <= m_confirmedAsOf)
         return;
     m_confirmedAsOf = time;
-    m_confirmedSeenAt = now;
+    m_confirmationReceivedAt = now;
 }
 
 /// Compares a peer's known version with the own one: adopts its confirmation or requests changes.
@@ -210,7 +211,7 @@
     // Same version but different objects: one of the two is wrong, which only the platform can
     // decide.
     m_mustList = true;
-    usePlatform(now, commands);
+    startPlatformCall(now, commands);
 }
 
 void ConfigStore::recordAnswer(const ConfigUpdate &update)
@@ -231,31 +232,31 @@
 {
     // One request at a time: after a change the digests of all peers are ahead, and one answer is
     // enough.
-    if (now < m_mayAskAt)
+    if (now < m_nextAskAt)
         return;
-    m_mayAskAt = now + m_setup.m_askInterval;
+    m_nextAskAt = now + m_setup.m_askInterval;
     commands.emplace_back(QueryPeer{peer, makeAsk()});
 }
 
-void ConfigStore::askForReadiness(ConfigCommands &commands)
+void ConfigStore::askUnansweredPeers(ConfigCommands &commands)
 {
     for (const NodeId &node : m_peers.unanswered())
         commands.emplace_back(QueryPeer{node, makeAsk()});
 }
 
-void ConfigStore::spreadDigest(ConfigCommands &commands) const
+void ConfigStore::sendDigestToPeers(ConfigCommands &commands) const
 {
     for (const NodeId &node : m_peers.nodes())
         commands.emplace_back(SendDigest{node, digest()});
 }
 
-void ConfigStore::spreadChanges(const ConfigChanges &changes, ConfigCommands &commands) const
+void ConfigStore::sendChangesToPeers(const ConfigChanges &changes, ConfigCommands &commands) const
 {
     for (const NodeId &node : m_peers.nodes())
         commands.emplace_back(SendUpdate{node, {digest(), changes, {}, 0}});
 }
 
-void ConfigStore::settle(ConfigCommands &commands)
+void ConfigStore::updateReadiness(ConfigCommands &commands)
 {
     const auto reason = m_ready ? std::string() : readyReason();
     if (!m_ready && reason.empty())
@@ -290,7 +291,7 @@
 /// Returns the reason why the node may become ready, or an empty text.
 std::string ConfigStore::readyReason() const
 {
-    if (m_readThisLife)
+    if (m_hasReadPlatform)
         return "the platform was read";
     const auto margin =
             std::chrono::duration_cast<std::chrono::milliseconds>(m_setup.m_clockMargin);
@@ -319,41 +320,42 @@
 void ConfigStore::onPlatformAnswer(const ConfigChanges &changes, WallMillis askedAt, TimePoint now,
                                    ConfigCommands &commands)
 {
-    m_platformCallOut = false;
+    m_isPlatformCallPending = false;
     m_backoff = Duration::zero();
-    takeChanges(changes, now, commands);
-    m_readThisLife = true;
+    applyChanges(changes, now, commands);
+    m_hasReadPlatform = true;
     confirm(askedAt, now);
-    m_confirmedSeenAt = now;
+    m_confirmationReceivedAt = now;
 }
 
 /// Starts a call to the platform if one is due: the relay's next watch, or a list.
-void ConfigStore::usePlatform(TimePoint now, ConfigCommands &commands)
+void ConfigStore::startPlatformCall(TimePoint now, ConfigCommands &commands)
 {
-    if (m_platformCallOut || now < m_platformNotBefore)
+    if (m_isPlatformCallPending || now < m_nextPlatformCallAt)
         return;
-    const bool mustList = m_mustList || !m_readThisLife;
-    if (mustList || (!isRelay() && isNewsOverdue(now))) {
-        m_platformCallOut = true;
+    const bool mustList = m_mustList || !m_hasReadPlatform;
+    if (mustList || (!isRelay() && isPlatformReadOverdue(now))) {
+        m_isPlatformCallPending = true;
         commands.emplace_back(ReadPlatform{});
         return;
     }
     if (!isRelay())
         return;
-    m_platformCallOut = true;
+    m_isPlatformCallPending = true;
     commands.emplace_back(WatchPlatform{m_known.completeTo(), m_setup.m_watchTimeout});
 }
 
 /// Failure guarded against: the relay is alive and serves, but its path to the platform is
 /// interrupted or its connection is silent, and the data centre gets no changes. The other nodes
 /// then read the platform themselves, in order of their rank, so that not all of them do.
-bool ConfigStore::isNewsOverdue(TimePoint now) const
+bool ConfigStore::isPlatformReadOverdue(TimePoint now) const
 {
-    constexpr int mostTurns = 8;
+    constexpr int maxDelayFactor = 8;
     const auto order = rendezvousChoice(configRelayKey, m_liveNodes, m_liveNodes.size());
     const auto self = std::find(order.begin(), order.end(), m_setup.m_node);
     const auto rank = static_cast<int>(self - order.begin());
-    return now - m_confirmedSeenAt >= m_setup.m_relayTimeout * std::min(1 + rank / 2, mostTurns);
+    return now - m_confirmationReceivedAt
+           >= m_setup.m_relayTimeout * std::min(1 + rank / 2, maxDelayFactor);
 }
 
 bool ConfigStore::isRelay() const
--- a/src/fleet/config_writer.cpp
+++ b/src/fleet/config_writer.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr std::string_view writeIdMark = "# write: ";
+constexpr std::string_view writeIdPrefix = "# write: ";
 
 /// Maximum number of calls of one write.
-constexpr int mostCalls = 8;
+constexpr int maxCalls = 8;
 
 /// Returns the position at which the body's last line starts.
 std::size_t lastLine(std::string_view body)
@@ -25,29 +25,29 @@
 
 std::string withWriteId(std::string_view body, std::string_view writeId)
 {
-    std::string marked(body);
+    std::string tagged(body);
     if (writeIdOf(body))
-        marked.resize(lastLine(body));
-    if (!marked.empty() && marked.back() != '\n')
-        marked += '\n';
-    marked += writeIdMark;
-    marked += writeId;
-    marked += '\n';
-    return marked;
+        tagged.resize(lastLine(body));
+    if (!tagged.empty() && tagged.back() != '\n')
+        tagged += '\n';
+    tagged += writeIdPrefix;
+    tagged += writeId;
+    tagged += '\n';
+    return tagged;
 }
 
 std::optional<std::string> writeIdOf(std::string_view body)
 {
     auto line = body.substr(lastLine(body));
-    if (!line.starts_with(writeIdMark))
+    if (!line.starts_with(writeIdPrefix))
         return std::nullopt;
-    line.remove_prefix(writeIdMark.size());
+    line.remove_prefix(writeIdPrefix.size());
     return std::string(line.substr(0, line.find('\n')));
 }
 
 ConfigWriter::ConfigWriter(ConfigEdit edit)
     : m_edit(std::move(edit))
-    , m_callsLeft(mostCalls)
+    , m_callsLeft(maxCalls)
 {}
 
 ConfigWriterStep ConfigWriter::start()
@@ -75,14 +75,14 @@
 {
     // An earlier call whose answer was lost may still have taken effect.
     if (m_answerLost)
-        return readAgain(error);
+        return readBack(error);
     return EditFailed{error};
 }
 
 ConfigWriterStep ConfigWriter::onAnswerLost(const Error &error)
 {
     m_answerLost = true;
-    return readAgain(error);
+    return readBack(error);
 }
 
 ConfigWriterStep ConfigWriter::onRead(const std::optional<ConfigObject> &object)
@@ -106,11 +106,11 @@
 ConfigWriterStep ConfigWriter::onReadFailed(const Error &error)
 {
     if (m_answerLost)
-        return readAgain(error);
+        return readBack(error);
     return EditConflict{m_edit.m_editedVersion, m_edit.m_body, std::nullopt, false};
 }
 
-ConfigWriterStep ConfigWriter::readAgain(const Error &error)
+ConfigWriterStep ConfigWriter::readBack(const Error &error)
 {
     if (--m_callsLeft > 0)
         return ReadObject{m_edit.m_key};
--- a/src/fleet/detail/vm_list_filter.cpp
+++ b/src/fleet/detail/vm_list_filter.cpp
@@ -5,14 +5,14 @@
 namespace {
 
 /// Number of consecutive lists that must miss a VM before it counts as unlisted.
-constexpr int missesUntilBelieved = 2;
+constexpr int missesUntilUnlisted = 2;
 /// A list that loses more than this part of its VMs at once, as a divisor, is ignored for VMs that
 /// answer.
-constexpr std::size_t massiveLossDivisor = 2;
-constexpr std::size_t fewestForMassiveLoss = 4;
+constexpr std::size_t massLossDivisor = 2;
+constexpr std::size_t minKnownForMassLoss = 4;
 
 /// Returns whether the list lost so many VMs at once that it may be truncated.
-bool isMassiveLoss(const UpstreamSet &upstreams, const std::set<UpstreamId> &shown)
+bool isMassLoss(const UpstreamSet &upstreams, const std::set<UpstreamId> &shown)
 {
     std::size_t known = 0;
     std::size_t missing = 0;
@@ -22,7 +22,7 @@
         ++known;
         missing += shown.contains(upstream) ? 0 : 1;
     }
-    return known >= fewestForMassiveLoss && missing * massiveLossDivisor > known;
+    return known >= minKnownForMassLoss && missing * massLossDivisor > known;
 }
 
 } // namespace
@@ -30,25 +30,25 @@
 std::vector<UpstreamEntry *>
 recordMissingVms(UpstreamSet &upstreams, const std::set<UpstreamId> &shown, TimePoint answeredSince)
 {
-    std::vector<UpstreamEntry *> believed;
-    const bool isMassive = isMassiveLoss(upstreams, shown);
+    std::vector<UpstreamEntry *> unlisted;
+    const bool hasMassLoss = isMassLoss(upstreams, shown);
     for (auto &[upstream, entry] : upstreams) {
         if (!entry.m_isListed || shown.contains(upstream))
             continue;
         ++entry.m_missedLists;
         // Two reads of a lagging list may come from replicas of different age: one list that misses
         // a VM proves nothing, and leaving could not be undone.
-        if (entry.m_missedLists < missesUntilBelieved)
+        if (entry.m_missedLists < missesUntilUnlisted)
             continue;
         // A truncated list appears as most VMs missing at once. If it were accepted, a fault of the
         // cloud's interface would stop all service; VMs that answer still exist.
         const bool answers = entry.m_tracker.lastAnswer() > answeredSince;
-        if (isMassive && answers)
+        if (hasMassLoss && answers)
             continue;
         entry.m_isListed = false;
-        believed.push_back(&entry);
+        unlisted.push_back(&entry);
     }
-    return believed;
+    return unlisted;
 }
 
 } // namespace gypsumdale::detail
--- a/src/fleet/heartbeat_pacing.cpp
+++ b/src/fleet/heartbeat_pacing.cpp
@@ -15,15 +15,15 @@
 constexpr int deadIntervalFactor = 10;
 /// Number of intervals without a heartbeat after which the second node of a pair starts an
 /// exchange.
-constexpr double secondIntervalFactor = 1.5;
+constexpr double responderIntervalFactor = 1.5;
 /// Weight of the newest heartbeat in the moving average of sizes.
 constexpr double sizeWeight = 0.05;
 
 } // namespace
 
 HeartbeatPacing::HeartbeatPacing(const MembershipSettings &settings)
-    : m_shortest(settings.m_heartbeatInterval)
-    , m_longest(settings.m_longestInterval)
+    : m_minInterval(settings.m_heartbeatInterval)
+    , m_maxInterval(settings.m_longestInterval)
     , m_bytesPerSecond(settings.m_bytesPerSecond)
     , m_interval(settings.m_heartbeatInterval)
 {}
@@ -39,7 +39,7 @@
     const double bytes = 2 * m_heartbeatBytes * static_cast<double>(peers);
     const std::chrono::duration<double> affordable(bytes / m_bytesPerSecond);
     const auto wanted = std::chrono::duration_cast<Duration>(affordable);
-    m_interval = std::clamp(wanted, m_shortest, m_longest);
+    m_interval = std::clamp(wanted, m_minInterval, m_maxInterval);
 }
 
 Duration HeartbeatPacing::dueAfter(HeartbeatRole role, NodeState state) const
@@ -47,7 +47,7 @@
     if (state == NodeState::Dead)
         return m_interval * deadIntervalFactor;
     if (role == HeartbeatRole::Responder)
-        return std::chrono::duration_cast<Duration>(m_interval * secondIntervalFactor);
+        return std::chrono::duration_cast<Duration>(m_interval * responderIntervalFactor);
     return m_interval;
 }
 
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -13,7 +13,7 @@
 /// Minimum number of intervals between two lists of nodes to a peer whose digest differs.
 constexpr int intervalsPerNodeList = 5;
 /// Number of missing summaries after which the nodes of a data centre are suspect.
-constexpr int missedSummaries = 5;
+constexpr int summaryTimeoutFactor = 5;
 
 std::string summaryKey(const DataCentreId &dataCentre)
 {
@@ -24,9 +24,9 @@
 
 Membership::Membership(MembershipSettings settings, TimePoint now)
     : m_settings(std::move(settings))
-    , m_summaries(summaryPatience())
-    , m_listening(m_settings.m_longestTickGap, now)
-    , m_pace(m_settings)
+    , m_summaries(summaryTimeout())
+    , m_clock(m_settings.m_longestTickGap, now)
+    , m_pacer(m_settings)
 {
     for (const NodeIdentity &seed : m_settings.m_seeds) {
         if (seed.m_node == self().m_node)
@@ -47,14 +47,14 @@
     Peer &peer = entry->second;
     if (!isNew)
         return peer;
-    peer.m_tracker = NodeStateTracker(identity, m_listening.activeTime(), now);
+    peer.m_tracker = NodeStateTracker(identity, m_clock.activeTime(), now);
     peer.m_role = heartbeatRole(self().m_node, identity.m_node);
     return peer;
 }
 
-Duration Membership::summaryPatience() const
+Duration Membership::summaryTimeout() const
 {
-    return missedSummaries * m_settings.m_summaryInterval;
+    return summaryTimeoutFactor * m_settings.m_summaryInterval;
 }
 
 // --- time -------------------------------------------------------------------------------------
@@ -62,13 +62,13 @@
 MembershipCommands Membership::tick(TimePoint now, WallMillis wallNow)
 {
     MembershipCommands commands;
-    m_listening.tick(now);
-    m_pace.setPeers(meshSize());
+    m_clock.tick(now);
+    m_pacer.setPeers(meshSize());
 
     for (auto &[node, peer] : m_peers) {
         if (!isOwn(peer.m_tracker.identity().m_dataCentre)) {
             // Measured in running time: a pause of this process doesn't count as silence of others.
-            peer.m_tracker.detectRemoteSilence(summaryPatience(), m_listening.activeTime(), now,
+            peer.m_tracker.detectRemoteSilence(summaryTimeout(), m_clock.activeTime(), now,
                                                commands);
             continue;
         }
@@ -79,7 +79,7 @@
         commands.push_back(SendHeartbeat{peer.m_tracker.identity(), messageFor(peer, now)});
     }
     sendSummaries(now, wallNow, commands);
-    forgetOldDead(now);
+    removeExpired(now);
     return commands;
 }
 
@@ -98,23 +98,23 @@
     if (peer.m_lastSent == TimePoint())
         return true;
     const TimePoint last = std::max(peer.m_lastSent, peer.m_tracker.lastExchange());
-    return now - last >= m_pace.dueAfter(peer.m_role, peer.m_tracker.state());
+    return now - last >= m_pacer.dueAfter(peer.m_role, peer.m_tracker.state());
 }
 
 void Membership::detectSilence(Peer &peer, TimePoint now, MembershipCommands &commands)
 {
-    const Duration activeTime = m_listening.activeTime();
+    const Duration activeTime = m_clock.activeTime();
     NodeStateTracker &watch = peer.m_tracker;
-    watch.detectSilence(m_settings.m_suspectAfter * m_pace.interval(), activeTime, now, commands);
+    watch.detectSilence(m_settings.m_suspectAfter * m_pacer.interval(), activeTime, now, commands);
     const Duration deadAfter =
-            std::max(m_settings.m_suspectAfter, m_settings.m_deadAfter) * m_pace.interval();
+            std::max(m_settings.m_suspectAfter, m_settings.m_deadAfter) * m_pacer.interval();
     if (watch.isDead() || watch.silence(activeTime) < deadAfter)
         return;
-    if (const std::optional<NodeId> witness = witnessAgainst(watch.identity()))
+    if (const std::optional<NodeId> witness = findWitness(watch.identity()))
         watch.confirmDead(*witness, activeTime, now, commands);
 }
 
-std::optional<NodeId> Membership::witnessAgainst(const NodeIdentity &silent) const
+std::optional<NodeId> Membership::findWitness(const NodeIdentity &silent) const
 {
     for (const auto &[node, other] : m_peers) {
         // Only an alive node can confirm: the report of a silent one is outdated.
@@ -124,23 +124,23 @@
     return std::nullopt;
 }
 
-bool Membership::isLeftOut(const Peer &peer, TimePoint now) const
+bool Membership::isUnlistedRemotely(const Peer &peer, TimePoint now) const
 {
     const NodeStateTracker &watch = peer.m_tracker;
     return watch.state() == NodeState::Suspect
            && m_summaries.isReachable(watch.identity().m_dataCentre, now);
 }
 
-void Membership::forgetOldDead(TimePoint now)
+void Membership::removeExpired(TimePoint now)
 {
     std::erase_if(m_peers, [&](const auto &entry) {
         const Peer &peer = entry.second;
         const NodeStateTracker &watch = peer.m_tracker;
-        const bool isNeverHeard = watch.identity().m_incarnation == 0;
-        const bool isOver = watch.isDead() || isNeverHeard || isLeftOut(peer, now);
+        const bool isNeverSeen = watch.identity().m_incarnation == 0;
+        const bool isObsolete = watch.isDead() || isNeverSeen || isUnlistedRemotely(peer, now);
         const bool isNamed = peer.m_isSeed || watch.isListed();
         const Duration age = now - watch.view().m_stateSince;
-        return isOver && !isNamed && age > m_settings.m_forgetAfter;
+        return isObsolete && !isNamed && age > m_settings.m_forgetAfter;
     });
 }
 
@@ -148,24 +148,24 @@
 
 Membership::Received Membership::onHeartbeat(const MembershipMessage &message, TimePoint now)
 {
-    return take(message, now);
+    return receive(message, now);
 }
 
 Membership::Received Membership::onReply(const MembershipMessage &message, TimePoint now)
 {
-    return take(message, now);
+    return receive(message, now);
 }
 
-Membership::Received Membership::take(const MembershipMessage &message, TimePoint now)
+Membership::Received Membership::receive(const MembershipMessage &message, TimePoint now)
 {
     Received received;
     if (message.m_from.m_node == self().m_node)
         return received;
     // Must come first: two nodes that count each other as dead accept nothing else from each other.
-    takeSelfSuspicion(message, received.m_commands);
+    refuteSelfSuspicion(message, received.m_commands);
     Peer &peer = ensure(message.m_from, now);
-    const HeartbeatFreshness news = peer.m_tracker.recordHeartbeat(
-            message, m_listening.activeTime(), now, received.m_commands);
+    const HeartbeatFreshness news =
+            peer.m_tracker.recordHeartbeat(message, m_clock.activeTime(), now, received.m_commands);
     if (news == HeartbeatFreshness::None)
         return received;
     received.m_isFresh = true;
@@ -180,13 +180,13 @@
         }
     }
     if (isDirect)
-        m_links[message.m_from.m_dataCentre].setRemoteNodesDigest(message.m_receiverNodesDigest);
+        m_senders[message.m_from.m_dataCentre].setRemoteNodesDigest(message.m_receiverNodesDigest);
     for (const DataCentreSummary &summary : message.m_summaries)
-        takeSummary(summary, isDirect, now, received.m_commands);
+        applySummary(summary, isDirect, now, received.m_commands);
     return received;
 }
 
-void Membership::takeSelfSuspicion(const MembershipMessage &message, MembershipCommands &commands)
+void Membership::refuteSelfSuspicion(const MembershipMessage &message, MembershipCommands &commands)
 {
     for (const NodeSuspicion &suspicion : message.m_suspicions) {
         const bool isAboutSelf = suspicion.m_node == self().m_node && suspicion.m_dead;
@@ -197,26 +197,26 @@
     }
 }
 
-void Membership::takeSummary(const DataCentreSummary &summary, bool isDirect, TimePoint now,
-                             MembershipCommands &commands)
+void Membership::applySummary(const DataCentreSummary &summary, bool isDirect, TimePoint now,
+                              MembershipCommands &commands)
 {
     if (isOwn(summary.m_dataCentre))
         return;
     const SummarySource source =
             isDirect ? SummarySource::DescribedDataCentre : SummarySource::OwnDataCentre;
     if (m_summaries.take(summary, source, now))
-        takeRemoteNodes(m_summaries.of(summary.m_dataCentre), now, commands);
+        applyRemoteNodes(m_summaries.of(summary.m_dataCentre), now, commands);
 }
 
-void Membership::takeRemoteNodes(const DataCentreSummary &summary, TimePoint now,
-                                 MembershipCommands &commands)
+void Membership::applyRemoteNodes(const DataCentreSummary &summary, TimePoint now,
+                                  MembershipCommands &commands)
 {
     // A list that does not match the digest is outdated: some of its nodes may be gone.
     if (!summary.m_nodes || digestOf(*summary.m_nodes) != summary.m_nodesDigest)
         return;
     for (const NodeIdentity &node : *summary.m_nodes) {
         Peer &peer = ensure(node, now);
-        if (peer.m_tracker.recordSummaryEntry(node, m_listening.activeTime(), now, commands))
+        if (peer.m_tracker.recordSummaryEntry(node, m_clock.activeTime(), now, commands))
             peer.m_sentSummaries.clear();
     }
 }
@@ -253,7 +253,7 @@
         return;
     const DataCentreId &dataCentre = found->second.m_tracker.identity().m_dataCentre;
     if (!isOwn(dataCentre))
-        m_links[dataCentre].fail();
+        m_senders[dataCentre].fail();
 }
 
 // --- sending ----------------------------------------------------------------------------------
@@ -273,8 +273,8 @@
     for (const auto &[node, other] : m_peers) {
         const NodeStateTracker &watch = other.m_tracker;
         const bool isSilent = watch.isDead()
-                              || watch.silence(m_listening.activeTime())
-                                         >= m_settings.m_suspectAfter * m_pace.interval();
+                              || watch.silence(m_clock.activeTime())
+                                         >= m_settings.m_suspectAfter * m_pacer.interval();
         if (isSilent && isOwn(watch.identity().m_dataCentre))
             message.m_suspicions.push_back({node, watch.identity().m_incarnation, watch.isDead()});
     }
@@ -289,7 +289,7 @@
     message.m_nodesDigest = digestOf(nodes);
     const bool isKnown = peer.m_nodesDigest == message.m_nodesDigest;
     const bool isTooSoon = peer.m_nodesSentAt != TimePoint()
-                           && now - peer.m_nodesSentAt < intervalsPerNodeList * m_pace.interval();
+                           && now - peer.m_nodesSentAt < intervalsPerNodeList * m_pacer.interval();
     if (isKnown || isTooSoon)
         return;
     peer.m_nodesSentAt = now;
@@ -306,7 +306,7 @@
     Peer &peer = found->second;
     MembershipMessage reply = isOwn(sender.m_dataCentre)
                                       ? messageFor(peer, now)
-                                      : messageAcross(sender.m_dataCentre, wallNow);
+                                      : messageToDataCentre(sender.m_dataCentre, wallNow);
     // Heartbeats of a process whose incarnation is not above one already seen, for example after
     // its clock was set back, would always be ignored: this suspicion makes it raise its
     // incarnation.
@@ -320,7 +320,7 @@
 {
     const std::vector<NodeId> duties = dutyNodes();
     for (const DataCentreId &dataCentre : otherDataCentres()) {
-        SummarySender &link = m_links[dataCentre];
+        SummarySender &link = m_senders[dataCentre];
         if (!link.startIfDue(m_settings.m_summaryInterval, now))
             continue;
         if (!isRendezvousChoice(summaryKey(dataCentre), duties, 1, self().m_node))
@@ -328,7 +328,7 @@
         const std::optional<NodeIdentity> target = summaryTarget(dataCentre, link);
         if (!target)
             continue;
-        commands.push_back(SendHeartbeat{*target, messageAcross(dataCentre, wallNow)});
+        commands.push_back(SendHeartbeat{*target, messageToDataCentre(dataCentre, wallNow)});
     }
 }
 
@@ -350,10 +350,11 @@
     return m_peers.at(chosen).m_tracker.identity();
 }
 
-MembershipMessage Membership::messageAcross(const DataCentreId &dataCentre, WallMillis wallNow)
+MembershipMessage Membership::messageToDataCentre(const DataCentreId &dataCentre,
+                                                  WallMillis wallNow)
 {
     MembershipMessage message = baseMessage();
-    message.m_summaries.push_back(ownSummary(m_links[dataCentre], wallNow));
+    message.m_summaries.push_back(ownSummary(m_senders[dataCentre], wallNow));
     message.m_receiverNodesDigest = m_summaries.nodesDigest(dataCentre);
     return message;
 }
--- a/src/fleet/node_state_tracker.cpp
+++ b/src/fleet/node_state_tracker.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 NodeStateTracker::NodeStateTracker(const NodeIdentity &identity, Duration activeTime, TimePoint now)
-    : m_heardAt(activeTime)
+    : m_receivedAt(activeTime)
 {
     m_view.m_identity = identity;
     // The incarnation is known only from a node's own heartbeat or its data centre's summary.
@@ -50,8 +50,8 @@
 /// to the process that sends it.
 bool NodeStateTracker::staysLeaving(bool isNewProcess) const
 {
-    const bool isUnheard = m_view.m_identity.m_incarnation == 0;
-    return m_view.m_isLeaving && (!isNewProcess || isUnheard);
+    const bool isUnknown = m_view.m_identity.m_incarnation == 0;
+    return m_view.m_isLeaving && (!isNewProcess || isUnknown);
 }
 
 HeartbeatFreshness NodeStateTracker::recordHeartbeat(const MembershipMessage &message,
@@ -75,7 +75,7 @@
     m_view.m_identity = message.m_from;
     m_view.m_lastReceivedAt = now;
     m_sequence = message.m_sequence;
-    m_heardAt = activeTime;
+    m_receivedAt = activeTime;
     m_lastExchange = now;
     m_suspicions = message.m_suspicions;
     const char *const reason = hasBegunDraining ? "draining"
@@ -100,7 +100,7 @@
     const bool isLeaving = staysLeaving(isNewProcess);
     m_view.m_identity = identity;
     m_view.m_lastReceivedAt = now;
-    m_heardAt = activeTime;
+    m_receivedAt = activeTime;
     set(NodeState::Alive, isLeaving, "listed in its data centre's summary", now, commands);
     return isNewProcess;
 }
--- a/src/fleet/notice_table.cpp
+++ b/src/fleet/notice_table.cpp
@@ -37,10 +37,11 @@
 
 NoticeStatus NoticeTable::take(const LeavingNotice &notice, TimePoint now, WallMillis wallNow)
 {
-    if (m_kept.contains(notice.m_id) || m_expired.contains(notice.m_id))
+    if (m_retained.contains(notice.m_id) || m_expired.contains(notice.m_id))
         return NoticeStatus::Known;
     const TimePoint deadline = now + untilDeadline(notice, wallNow);
-    m_kept.emplace(notice.m_id, Kept{notice, deadline + m_listLag, deadline + m_retention});
+    m_retained.emplace(notice.m_id,
+                       RetainedNotice{notice, deadline + m_listLag, deadline + m_retention});
     m_digest ^= hashOf(notice.m_id);
     const auto lag = std::chrono::duration_cast<std::chrono::milliseconds>(m_listLag);
     const bool isLate = notice.m_deadline != 0 && wallNow - notice.m_deadline > lag.count();
@@ -49,14 +50,14 @@
 
 void NoticeTable::expire(TimePoint now)
 {
-    for (auto entry = m_kept.begin(); entry != m_kept.end();) {
+    for (auto entry = m_retained.begin(); entry != m_retained.end();) {
         if (now < entry->second.m_expiresAt) {
             ++entry;
             continue;
         }
         m_digest ^= hashOf(entry->first);
         m_expired.emplace(entry->first, now + m_retention);
-        entry = m_kept.erase(entry);
+        entry = m_retained.erase(entry);
     }
     std::erase_if(m_expired, [&](const auto &entry) { return now >= entry.second; });
 }
@@ -64,8 +65,8 @@
 std::vector<LeavingNotice> NoticeTable::all() const
 {
     std::vector<LeavingNotice> result;
-    for (const auto &[id, kept] : m_kept)
-        result.push_back(kept.m_notice);
+    for (const auto &[id, retained] : m_retained)
+        result.push_back(retained.m_notice);
     return result;
 }
 
@@ -73,8 +74,8 @@
                                                  TimePoint now) const
 {
     std::vector<NoticeEffect> result;
-    for (const auto &[id, kept] : m_kept) {
-        const LeavingNotice &notice = kept.m_notice;
+    for (const auto &[id, retained] : m_retained) {
+        const LeavingNotice &notice = retained.m_notice;
         if (isNamedBy(notice, declaration)) {
             result.push_back({notice, std::nullopt});
             continue;
@@ -84,8 +85,8 @@
         // a new one.
         const bool isByZone = notice.m_cause == LeavingCause::ZoneReclaim
                               && notice.m_zone == declaration.m_dataCentre;
-        if (isByZone && now < kept.m_heldUntil)
-            result.push_back({notice, kept.m_heldUntil});
+        if (isByZone && now < retained.m_heldUntil)
+            result.push_back({notice, retained.m_heldUntil});
     }
     return result;
 }
--- a/src/fleet/peer_codec.cpp
+++ b/src/fleet/peer_codec.cpp
@@ -17,7 +17,7 @@
 /// Ages are sent as milliseconds in 32 bits; the largest value means "never".
 constexpr std::int32_t neverAge = std::numeric_limits<std::int32_t>::max();
 
-bool hasBody(const PeerRequestBody &body)
+bool hasKnownBody(const PeerRequestBody &body)
 {
     const auto &set = body.__isset;
     return set.heartbeat || set.configAsk || set.configUpdate || set.configDigest
@@ -27,7 +27,7 @@
            || set.versionAsk;
 }
 
-bool hasBody(const PeerReplyBody &body)
+bool hasKnownBody(const PeerReplyBody &body)
 {
     const auto &set = body.__isset;
     return set.heartbeat || set.configUpdate || set.leavingNotices || set.jobLocated
@@ -44,7 +44,7 @@
     const Message &message = valueOf(result);
     if (message.protocol != g_peer_constants.PROTOCOL_VERSION)
         return Error{ErrorId::PeerRefused, "the peer uses a different protocol version"};
-    if (!hasBody(message.body))
+    if (!hasKnownBody(message.body))
         return Error{ErrorId::PeerMalformed, "message of unknown kind"};
     return result;
 }
--- a/src/fleet/peer_exchange.cpp
+++ b/src/fleet/peer_exchange.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// Maximum number of changes of one kind in one heartbeat; the others follow in the next one.
-constexpr std::size_t differencesPerHeartbeat = 256;
+constexpr std::size_t maxChangesPerHeartbeat = 256;
 /// Number of nodes of each other data centre that a notice is sent to; each forwards it within its
 /// own data centre.
-constexpr std::size_t noticeTargetsPerDataCentre = 2;
+constexpr std::size_t noticeReceiversPerDataCentre = 2;
 /// Minimum time between two exchanges of all notices with the same peer.
 constexpr Duration noticeRepairInterval = std::chrono::seconds(2);
 /// Interval at which the own data centre's capacity is recomputed.
@@ -62,21 +62,21 @@
     forward(m_membership.tick(now, wallNow), now, wallNow, commands);
     m_upstreams.setNodes(m_membership.dutyNodes());
     forward(m_upstreams.tick(now, wallNow), commands);
-    if (now - m_capacityAt >= capacityInterval) {
-        m_capacityAt = now;
+    if (now - m_capacityUpdatedAt >= capacityInterval) {
+        m_capacityUpdatedAt = now;
         m_membership.setCapacity(m_upstreams.capacity());
-        forgetCursors();
+        removeCursors();
     }
     return commands;
 }
 
-void PeerExchange::forgetCursors()
+void PeerExchange::removeCursors()
 {
-    const auto isForgotten = [this](const auto &entry) {
+    const auto isRemoved = [this](const auto &entry) {
         return !m_membership.find(entry.first);
     };
-    std::erase_if(m_cursors, isForgotten);
-    std::erase_if(m_noticesSentAt, isForgotten);
+    std::erase_if(m_cursors, isRemoved);
+    std::erase_if(m_noticesSentAt, isRemoved);
 }
 
 wire::Heartbeat PeerExchange::compose(const MembershipMessage &message, const NodeIdentity &to,
@@ -92,18 +92,18 @@
 
     const PeerCursor &cursor = m_cursors[to.m_node];
     heartbeat.receiverIncarnation = cursor.m_incarnation;
-    heartbeat.upstreamsSeen = cursor.m_upstreamsSeen;
-    heartbeat.tokensSeen = cursor.m_tokensSeen;
-    heartbeat.inFlightSeen = cursor.m_inFlightSeen;
+    heartbeat.upstreamsSeen = cursor.m_receivedUpstreams;
+    heartbeat.tokensSeen = cursor.m_receivedTokens;
+    heartbeat.inFlightSeen = cursor.m_receivedInFlight;
 
-    const ObservationBatch batch = m_upstreams.observationsSince(cursor.m_theirUpstreamsSeen,
-                                                                 differencesPerHeartbeat, now);
+    const ObservationBatch batch =
+            m_upstreams.observationsSince(cursor.m_ackedUpstreams, maxChangesPerHeartbeat, now);
     for (const UpstreamObservation &observation : batch.m_observations)
         heartbeat.observations.push_back(wire::toWire(observation));
     heartbeat.upstreamsVersion = batch.m_upTo;
 
     const Changes<MemberId> members =
-            m_tokenChanges.since(cursor.m_theirTokensSeen, differencesPerHeartbeat);
+            m_tokenChanges.since(cursor.m_ackedTokens, maxChangesPerHeartbeat);
     for (const MemberId &member : members.m_keys) {
         wire::MemberTokens item;
         item.member = member.text();
@@ -113,7 +113,7 @@
     heartbeat.tokensVersion = members.m_upTo;
 
     for (const InFlightReport &report :
-         m_upstreams.inFlightFor(to.m_node, cursor.m_theirInFlightSeen)) {
+         m_upstreams.inFlightFor(to.m_node, cursor.m_ackedInFlight)) {
         wire::InFlight item;
         item.upstream = report.m_key;
         item.count = report.m_count;
@@ -142,7 +142,7 @@
     Membership::Received received = m_membership.onHeartbeat(message, now);
     forward(std::move(received.m_commands), now, wallNow, answered.m_commands);
     if (received.m_isFresh)
-        takeRest(heartbeat, now, answered.m_commands);
+        applyHeartbeat(heartbeat, now, answered.m_commands);
     const MembershipMessage reply = m_membership.replyTo(message, now, wallNow);
     answered.m_reply.__set_heartbeat(compose(reply, message.m_from, now, wallNow));
     return answered;
@@ -156,41 +156,42 @@
     Membership::Received received = m_membership.onReply(message, now);
     forward(std::move(received.m_commands), now, wallNow, commands);
     if (received.m_isFresh)
-        takeRest(heartbeat, now, commands);
+        applyHeartbeat(heartbeat, now, commands);
     return commands;
 }
 
-void PeerExchange::takeRest(const wire::Heartbeat &heartbeat, TimePoint now,
-                            ExchangeCommands &commands)
+void PeerExchange::applyHeartbeat(const wire::Heartbeat &heartbeat, TimePoint now,
+                                  ExchangeCommands &commands)
 {
     const NodeId node(heartbeat.node);
     commands.push_back(
             ConfigDigestReceived{node, DataCentreId(heartbeat.dataCentre), heartbeat.config});
     repairNotices(heartbeat, now, commands);
     if (isOwnDataCentre(heartbeat.dataCentre))
-        takeDifferences(heartbeat, now, commands);
+        applyChanges(heartbeat, now, commands);
 }
 
-void PeerExchange::takeDifferences(const wire::Heartbeat &heartbeat, TimePoint now,
-                                   ExchangeCommands &commands)
+void PeerExchange::applyChanges(const wire::Heartbeat &heartbeat, TimePoint now,
+                                ExchangeCommands &commands)
 {
     const NodeId node(heartbeat.node);
     PeerCursor &cursor = cursorOf(node, heartbeat.incarnation);
     // The versions that the peer has received are valid only for the incarnation that it names: the
     // versions of a restarted node start again, and the peer's old number would hide its first
     // changes.
-    const bool knowsThis = heartbeat.receiverIncarnation == m_membership.self().m_incarnation;
-    cursor.m_theirUpstreamsSeen = knowsThis ? heartbeat.upstreamsSeen : 0;
-    cursor.m_theirTokensSeen = knowsThis ? heartbeat.tokensSeen : 0;
-    cursor.m_theirInFlightSeen = knowsThis ? heartbeat.inFlightSeen : 0;
+    const bool isForThisIncarnation =
+            heartbeat.receiverIncarnation == m_membership.self().m_incarnation;
+    cursor.m_ackedUpstreams = isForThisIncarnation ? heartbeat.upstreamsSeen : 0;
+    cursor.m_ackedTokens = isForThisIncarnation ? heartbeat.tokensSeen : 0;
+    cursor.m_ackedInFlight = isForThisIncarnation ? heartbeat.inFlightSeen : 0;
     // A heartbeat that was sent to the former process on this node contains the changes that that
     // process was missing, not those that this one is missing: its values are valid, but they are
     // not complete up to its version. A heartbeat whose sender knew no process here contains
     // everything.
-    if (knowsThis || heartbeat.receiverIncarnation == 0) {
-        cursor.m_upstreamsSeen = heartbeat.upstreamsVersion;
-        cursor.m_tokensSeen = heartbeat.tokensVersion;
-        cursor.m_inFlightSeen = heartbeat.inFlightVersion;
+    if (isForThisIncarnation || heartbeat.receiverIncarnation == 0) {
+        cursor.m_receivedUpstreams = heartbeat.upstreamsVersion;
+        cursor.m_receivedTokens = heartbeat.tokensVersion;
+        cursor.m_receivedInFlight = heartbeat.inFlightVersion;
     }
 
     for (const wire::UpstreamObservation &item : heartbeat.observations)
@@ -231,11 +232,11 @@
     std::vector<LeavingNotice> received;
     for (const wire::LeavingNotice &item : notices.notices)
         received.push_back(wire::fromWire(item));
-    return takeNotices(received, source, now, wallNow);
+    return applyNotices(received, source, now, wallNow);
 }
 
-ExchangeCommands PeerExchange::takeNotices(const std::vector<LeavingNotice> &notices,
-                                           NoticeSource source, TimePoint now, WallMillis wallNow)
+ExchangeCommands PeerExchange::applyNotices(const std::vector<LeavingNotice> &notices,
+                                            NoticeSource source, TimePoint now, WallMillis wallNow)
 {
     ExchangeCommands commands;
     UpstreamCommands all;
@@ -256,13 +257,13 @@
 ExchangeCommands PeerExchange::onNotices(const std::vector<LeavingNotice> &notices, TimePoint now,
                                          WallMillis wallNow)
 {
-    return takeNotices(notices, NoticeSource::Local, now, wallNow);
+    return applyNotices(notices, NoticeSource::Local, now, wallNow);
 }
 
 ExchangeCommands PeerExchange::onNotice(const LeavingNotice &notice, TimePoint now,
                                         WallMillis wallNow)
 {
-    return takeNotices({notice}, NoticeSource::Local, now, wallNow);
+    return applyNotices({notice}, NoticeSource::Local, now, wallNow);
 }
 
 ExchangeCommands PeerExchange::drainUpstream(const UpstreamId &upstream, TimePoint now,
@@ -351,9 +352,9 @@
     std::vector<LeavingNotice> toOwn;
     const auto visitor = Overloaded{
             [&](ProbeUpstream &probe) { commands.push_back(std::move(probe)); },
-            [&](ForwardNotice &spreading) {
-                auto &list = spreading.m_toOtherDataCentres ? toAll : toOwn;
-                list.push_back(std::move(spreading.m_notice));
+            [&](ForwardNotice &forwarded) {
+                auto &list = forwarded.m_toOtherDataCentres ? toAll : toOwn;
+                list.push_back(std::move(forwarded.m_notice));
             },
             [&](UpstreamStateChanged &change) { commands.push_back(std::move(change)); },
     };
@@ -361,12 +362,12 @@
         std::visit(visitor, command);
     // Notices received together are forwarded together: reclaiming a data centre may mean a
     // thousand notices.
-    spread(toAll, true, commands);
-    spread(toOwn, false, commands);
+    sendNotices(toAll, true, commands);
+    sendNotices(toOwn, false, commands);
 }
 
-void PeerExchange::spread(const std::vector<LeavingNotice> &notices, bool toOtherDataCentres,
-                          ExchangeCommands &commands)
+void PeerExchange::sendNotices(const std::vector<LeavingNotice> &notices, bool toOtherDataCentres,
+                               ExchangeCommands &commands)
 {
     if (notices.empty())
         return;
@@ -383,7 +384,7 @@
         std::vector<NodeId> names;
         for (const NodeIdentity &node : m_membership.availableNodes(dataCentre))
             names.push_back(node.m_node);
-        for (const NodeId &node : rendezvousChoice(key, names, noticeTargetsPerDataCentre))
+        for (const NodeId &node : rendezvousChoice(key, names, noticeReceiversPerDataCentre))
             commands.push_back(SendToPeer{m_membership.find(node)->m_identity, body});
     }
 }
--- a/src/fleet/probe_duty.cpp
+++ b/src/fleet/probe_duty.cpp
@@ -18,10 +18,10 @@
 
 ProbeDuty::ProbeDuty(const UpstreamTableSettings &settings)
     : m_nodes({settings.m_self})
-    , m_owners(settings.m_owners)
+    , m_ownersPerUpstream(settings.m_owners)
     , m_fullMeshLimit(settings.m_fullMeshLimit)
-    , m_shortest(settings.m_probeInterval)
-    , m_longest(settings.m_longestProbeInterval)
+    , m_minInterval(settings.m_probeInterval)
+    , m_maxInterval(settings.m_longestProbeInterval)
     , m_probesPerSecond(settings.m_probesPerSecond)
 {}
 
@@ -35,7 +35,7 @@
 
 ProbeOwners ProbeDuty::ownersOf(const UpstreamId &upstream) const
 {
-    return ProbeOwners(rendezvousChoice(upstream.text(), m_nodes, m_owners));
+    return ProbeOwners(rendezvousChoice(upstream.text(), m_nodes, m_ownersPerUpstream));
 }
 
 Duration ProbeDuty::interval() const
@@ -43,7 +43,7 @@
     const std::chrono::duration<double> affordable(static_cast<double>(m_owned)
                                                    / m_probesPerSecond);
     const auto wanted = std::chrono::duration_cast<Duration>(affordable);
-    return std::clamp(wanted, m_shortest, m_longest);
+    return std::clamp(wanted, m_minInterval, m_maxInterval);
 }
 
 } // namespace gypsumdale
--- a/src/fleet/rendezvous.cpp
+++ b/src/fleet/rendezvous.cpp
@@ -12,14 +12,14 @@
 
 constexpr std::int64_t upstreamKeyMask = (std::int64_t(1) << 40) - 1;
 
-struct Weighed
+struct WeightedNode
 {
     std::uint64_t m_weight = 0;
     const NodeId *m_node = nullptr;
 };
 
 /// Orders by weight, and by name if the weights are equal, so that all processes agree.
-bool isHeavier(const Weighed &left, const Weighed &right)
+bool isHeavier(const WeightedNode &left, const WeightedNode &right)
 {
     if (left.m_weight != right.m_weight)
         return left.m_weight > right.m_weight;
@@ -37,16 +37,16 @@
 std::vector<NodeId> rendezvousChoice(std::string_view key, const std::vector<NodeId> &nodes,
                                      std::size_t count)
 {
-    std::vector<Weighed> weighed;
-    weighed.reserve(nodes.size());
+    std::vector<WeightedNode> weighted;
+    weighted.reserve(nodes.size());
     for (const NodeId &node : nodes)
-        weighed.push_back({rendezvousWeight(key, node), &node});
-    const std::size_t kept = std::min(count, weighed.size());
-    const auto end = weighed.begin() + static_cast<std::ptrdiff_t>(kept);
-    std::partial_sort(weighed.begin(), end, weighed.end(), isHeavier);
+        weighted.push_back({rendezvousWeight(key, node), &node});
+    const std::size_t kept = std::min(count, weighted.size());
+    const auto end = weighted.begin() + static_cast<std::ptrdiff_t>(kept);
+    std::partial_sort(weighted.begin(), end, weighted.end(), isHeavier);
 
     std::vector<NodeId> chosen;
-    for (auto entry = weighed.begin(); entry != end; ++entry)
+    for (auto entry = weighted.begin(); entry != end; ++entry)
         chosen.push_back(*entry->m_node);
     return chosen;
 }
@@ -56,7 +56,7 @@
 {
     if (std::find(nodes.begin(), nodes.end(), self) == nodes.end())
         return false;
-    const Weighed own = {rendezvousWeight(key, self), &self};
+    const WeightedNode own = {rendezvousWeight(key, self), &self};
     const auto isAhead = [&](const NodeId &node) {
         return isHeavier({rendezvousWeight(key, node), &node}, own);
     };
--- a/src/fleet/route_scope.cpp
+++ b/src/fleet/route_scope.cpp
@@ -8,24 +8,24 @@
 namespace {
 
 /// Returns the data centres with free slots for the service, the one with the most first.
-std::vector<DataCentreId> withRoom(const ServiceId &service,
-                                   const std::map<DataCentreId, ReceivedSummary> &summaries,
-                                   Duration longestAge, TimePoint now)
+std::vector<DataCentreId> withFreeSlots(const ServiceId &service,
+                                        const std::map<DataCentreId, ReceivedSummary> &summaries,
+                                        Duration longestAge, TimePoint now)
 {
-    std::vector<std::pair<int, DataCentreId>> spare;
+    std::vector<std::pair<int, DataCentreId>> candidates;
     for (const auto &[dataCentre, received] : summaries) {
         if (now - received.m_receivedAt > longestAge)
             continue;
         for (const ServiceCapacity &capacity : received.m_summary.m_services) {
-            const int room = capacity.m_slots - capacity.m_running - capacity.m_queued;
-            if (capacity.m_service == service && capacity.m_upstreams > 0 && room > 0)
-                spare.emplace_back(-room, dataCentre);
+            const int freeSlots = capacity.m_slots - capacity.m_running - capacity.m_queued;
+            if (capacity.m_service == service && capacity.m_upstreams > 0 && freeSlots > 0)
+                candidates.emplace_back(-freeSlots, dataCentre);
         }
     }
-    std::sort(spare.begin(), spare.end());
+    std::sort(candidates.begin(), candidates.end());
     std::vector<DataCentreId> result;
-    result.reserve(spare.size());
-    for (auto &[room, dataCentre] : spare)
+    result.reserve(candidates.size());
+    for (auto &[freeSlots, dataCentre] : candidates)
         result.push_back(std::move(dataCentre));
     return result;
 }
@@ -43,7 +43,7 @@
         return RouteUnavailable{
                 "no upstream in this data centre, and the settings forbid other data centres"};
 
-    std::vector<DataCentreId> others = withRoom(service, summaries, longestAge, now);
+    std::vector<DataCentreId> others = withFreeSlots(service, summaries, longestAge, now);
     if (others.empty() && own.m_hasOpen)
         return RouteOwn{};
     if (others.empty())
--- a/src/fleet/summary_table.cpp
+++ b/src/fleet/summary_table.cpp
@@ -9,7 +9,7 @@
 
 /// The list of nodes is sent rarely, and two nodes may send summaries in the same millisecond: it
 /// is therefore compared by its own time, and accepted even from a summary that is superseded.
-void takeNodeList(const DataCentreSummary &summary, bool isHeldStale, ReceivedSummary &held)
+void applyNodeList(const DataCentreSummary &summary, bool isHeldStale, ReceivedSummary &held)
 {
     const bool isOld = summary.m_madeAt <= held.m_nodesMadeAt && !isHeldStale;
     if (!summary.m_nodes || isOld)
@@ -20,16 +20,16 @@
 
 } // namespace
 
-SummaryTable::SummaryTable(Duration freshFor)
-    : m_freshFor(freshFor)
+SummaryTable::SummaryTable(Duration maxAge)
+    : m_maxAge(maxAge)
 {}
 
 bool SummaryTable::take(const DataCentreSummary &summary, SummarySource source, TimePoint now)
 {
-    ReceivedSummary &held = m_held[summary.m_dataCentre];
+    ReceivedSummary &held = m_summaries[summary.m_dataCentre];
     // A sender whose clock is ahead must not suppress the summaries of others for longer than this.
-    const bool isStale = now - held.m_receivedAt > m_freshFor;
-    takeNodeList(summary, isStale, held);
+    const bool isStale = now - held.m_receivedAt > m_maxAge;
+    applyNodeList(summary, isStale, held);
     if (summary.m_madeAt <= held.m_summary.m_madeAt && !isStale)
         return false;
     std::optional<std::vector<NodeIdentity>> nodes = std::move(held.m_summary.m_nodes);
@@ -37,40 +37,40 @@
     held.m_summary.m_nodes = std::move(nodes);
     held.m_receivedAt = now;
     if (source == SummarySource::DescribedDataCentre)
-        m_toSpread.insert(summary.m_dataCentre);
+        m_toForward.insert(summary.m_dataCentre);
     else
-        m_toSpread.erase(summary.m_dataCentre);
+        m_toForward.erase(summary.m_dataCentre);
     return true;
 }
 
 bool SummaryTable::isReachable(const DataCentreId &dataCentre, TimePoint now) const
 {
-    const auto held = m_held.find(dataCentre);
-    return held != m_held.end() && now - held->second.m_receivedAt < m_freshFor;
+    const auto held = m_summaries.find(dataCentre);
+    return held != m_summaries.end() && now - held->second.m_receivedAt < m_maxAge;
 }
 
 std::int64_t SummaryTable::nodesDigest(const DataCentreId &dataCentre) const
 {
-    const auto held = m_held.find(dataCentre);
-    const bool hasList = held != m_held.end() && held->second.m_summary.m_nodes;
+    const auto held = m_summaries.find(dataCentre);
+    const bool hasList = held != m_summaries.end() && held->second.m_summary.m_nodes;
     return hasList ? digestOf(*held->second.m_summary.m_nodes) : 0;
 }
 
-std::vector<DataCentreSummary> SummaryTable::unsentFor(SentSummaries &told) const
+std::vector<DataCentreSummary> SummaryTable::unsentFor(SentSummaries &sentToPeer) const
 {
-    std::vector<DataCentreSummary> news;
-    for (const DataCentreId &dataCentre : m_toSpread) {
-        const ReceivedSummary &held = m_held.at(dataCentre);
-        SentSummaryTimes &sent = told[dataCentre];
+    std::vector<DataCentreSummary> unsent;
+    for (const DataCentreId &dataCentre : m_toForward) {
+        const ReceivedSummary &held = m_summaries.at(dataCentre);
+        SentSummaryTimes &sent = sentToPeer[dataCentre];
         const bool isListNew = held.m_nodesMadeAt != sent.m_nodesMadeAt;
         if (held.m_summary.m_madeAt == sent.m_madeAt && !isListNew)
             continue;
-        news.push_back(held.m_summary);
+        unsent.push_back(held.m_summary);
         if (!isListNew)
-            news.back().m_nodes.reset();
+            unsent.back().m_nodes.reset();
         sent = {held.m_summary.m_madeAt, held.m_nodesMadeAt};
     }
-    return news;
+    return unsent;
 }
 
 bool SummarySender::startIfDue(Duration interval, TimePoint now)
@@ -84,11 +84,11 @@
 
 bool SummarySender::includesNodeList(std::int64_t digest, int summariesPerNodeList)
 {
-    ++m_sinceNodeList;
-    const bool isHeldThere = m_heldThere == digest;
-    if (isHeldThere && m_sinceNodeList < summariesPerNodeList)
+    ++m_summariesSinceNodeList;
+    const bool isKnownRemotely = m_remoteNodesDigest == digest;
+    if (isKnownRemotely && m_summariesSinceNodeList < summariesPerNodeList)
         return false;
-    m_sinceNodeList = 0;
+    m_summariesSinceNodeList = 0;
     return true;
 }
 
--- a/src/fleet/upstream_set.cpp
+++ b/src/fleet/upstream_set.cpp
@@ -119,17 +119,18 @@
 OwnCapacity UpstreamSet::openCapacityOf(const ServiceId &service,
                                         const DataCentreId &dataCentre) const
 {
-    OwnCapacity room;
+    OwnCapacity capacity;
     forEachCandidate(service, dataCentre, [&](const UpstreamView &view) {
-        room.m_hasOpen = true;
+        capacity.m_hasOpen = true;
         if (view.m_state != UpstreamState::Live)
             return;
-        room.m_hasLive = true;
+        capacity.m_hasLive = true;
         const UpstreamLoad &load = view.m_load;
         const int taken = std::max(load.m_running + load.m_queued, view.m_totalInFlight);
-        room.m_hasFreeSlot = room.m_hasFreeSlot || load.m_slots == 0 || taken < load.m_slots;
+        capacity.m_hasFreeSlot =
+                capacity.m_hasFreeSlot || load.m_slots == 0 || taken < load.m_slots;
     });
-    return room;
+    return capacity;
 }
 
 } // namespace gypsumdale
--- a/src/fleet/upstream_state_tracker.cpp
+++ b/src/fleet/upstream_state_tracker.cpp
@@ -83,9 +83,9 @@
 bool UpstreamStateTracker::recordLoad(const UpstreamLoad &load, TimePoint observedAt)
 {
     const bool isOlderProcess = load.m_incarnation < m_view.m_load.m_incarnation;
-    const bool isOlderWord =
+    const bool isOlderReport =
             load.m_incarnation == m_view.m_load.m_incarnation && observedAt < m_view.m_loadAt;
-    if (isOlderProcess || isOlderWord)
+    if (isOlderProcess || isOlderReport)
         return false;
     m_view.m_load = load;
     m_view.m_loadAt = observedAt;
@@ -93,7 +93,7 @@
     return true;
 }
 
-void UpstreamStateTracker::reviveIfRestarted(TimePoint now, UpstreamCommands &commands)
+void UpstreamStateTracker::recoverIfRestarted(TimePoint now, UpstreamCommands &commands)
 {
     if (!m_leavingIncarnation)
         return;
@@ -112,7 +112,7 @@
 
 void UpstreamStateTracker::recoverIfAnswered(TimePoint now, UpstreamCommands &commands)
 {
-    reviveIfRestarted(now, commands);
+    recoverIfRestarted(now, commands);
     if (m_view.m_state == UpstreamState::Suspect && now >= m_penaltyUntil)
         setState(UpstreamState::Live, "answered", now, commands);
 }
@@ -161,32 +161,32 @@
                                         const SilenceLimits &limits, TimePoint now,
                                         WallMillis wallNow, UpstreamCommands &commands)
 {
-    const bool isHere = place == UpstreamLocality::Local;
+    const bool isLocal = place == UpstreamLocality::Local;
     if (m_view.m_state == UpstreamState::Leaving)
-        settleLeaving(isListed, limits, now, wallNow, commands);
-    else if (m_view.m_state == UpstreamState::Live && isHere)
-        settleLive(limits, now, commands);
-    else if (m_view.m_state == UpstreamState::Suspect && !isHere && now >= m_penaltyUntil)
+        updateLeaving(isListed, limits, now, wallNow, commands);
+    else if (m_view.m_state == UpstreamState::Live && isLocal)
+        updateLive(limits, now, commands);
+    else if (m_view.m_state == UpstreamState::Suspect && !isLocal && now >= m_penaltyUntil)
         setState(UpstreamState::Live, "the penalty expired", now, commands);
 }
 
-void UpstreamStateTracker::settleLeaving(bool isListed, const SilenceLimits &limits, TimePoint now,
+void UpstreamStateTracker::updateLeaving(bool isListed, const SilenceLimits &limits, TimePoint now,
                                          WallMillis wallNow, UpstreamCommands &commands)
 {
-    const bool isMarked = m_isVmLeaving || m_leavingIncarnation.has_value();
-    if (!isMarked && now >= m_heldUntil) {
+    const bool isConfirmedLeaving = m_isVmLeaving || m_leavingIncarnation.has_value();
+    if (!isConfirmedLeaving && now >= m_heldUntil) {
         setState(UpstreamState::Suspect, "the hold after its zone's reclaim notice expired", now,
                  commands);
         return;
     }
     const bool isSilent = now - m_lastAnswer >= limits.m_gone;
     const bool isOver = m_view.m_deadline != 0 && wallNow >= m_view.m_deadline;
-    const bool isDelisted = m_isVmLeaving && !isListed;
-    if (isSilent && (isOver || isDelisted))
+    const bool isUnlisted = m_isVmLeaving && !isListed;
+    if (isSilent && (isOver || isUnlisted))
         setState(UpstreamState::Gone, "silent after leaving", now, commands);
 }
 
-void UpstreamStateTracker::settleLive(const SilenceLimits &limits, TimePoint now,
+void UpstreamStateTracker::updateLive(const SilenceLimits &limits, TimePoint now,
                                       UpstreamCommands &commands)
 {
     const Duration silence = now - m_lastAnswer;
--- a/src/fleet/upstream_table.cpp
+++ b/src/fleet/upstream_table.cpp
@@ -25,9 +25,9 @@
 
 // --- entries ----------------------------------------------------------------------------------
 
-UpstreamLocality UpstreamTable::placeOf(const UpstreamDeclaration &declaration) const
+UpstreamLocality UpstreamTable::localityOf(const UpstreamDeclaration &declaration) const
 {
-    return isHere(declaration) ? UpstreamLocality::Local : UpstreamLocality::Remote;
+    return isLocal(declaration) ? UpstreamLocality::Local : UpstreamLocality::Remote;
 }
 
 void UpstreamTable::remove(const UpstreamId &upstream)
@@ -68,26 +68,26 @@
     if (UpstreamEntry *held = m_entries.find(declaration.m_upstream)) {
         if (held->m_tracker.view().m_declaration != declaration) {
             m_entries.redeclare(*held, declaration);
-            chooseOwners(*held);
+            selectOwners(*held);
         }
         return *held;
     }
-    UpstreamEntry &entry = m_entries.insert(declaration, placeOf(declaration), now);
-    chooseOwners(entry);
-    applyKeptNotices(entry, now, commands);
+    UpstreamEntry &entry = m_entries.insert(declaration, localityOf(declaration), now);
+    selectOwners(entry);
+    applyRetainedNotices(entry, now, commands);
     return entry;
 }
 
 // --- owners -----------------------------------------------------------------------------------
 
-void UpstreamTable::chooseOwners(UpstreamEntry &entry)
+void UpstreamTable::selectOwners(UpstreamEntry &entry)
 {
     if (entry.m_isOwned)
         m_duty.remove();
     entry.m_isOwned = false;
     entry.m_owners = {};
     const UpstreamDeclaration &declaration = entry.m_tracker.view().m_declaration;
-    if (!isHere(declaration))
+    if (!isLocal(declaration))
         return;
     entry.m_owners = m_duty.ownersOf(declaration.m_upstream);
     entry.m_isOwned = entry.m_owners.includes(m_settings.m_self);
@@ -98,15 +98,15 @@
 
 void UpstreamTable::setNodes(const std::vector<NodeId> &nodes)
 {
-    const bool wasSmall = m_duty.isFullMesh();
+    const bool wasFullMesh = m_duty.isFullMesh();
     if (!m_duty.setNodes(nodes))
         return;
-    const bool isSizeNew = wasSmall != m_duty.isFullMesh();
+    const bool hasMeshChanged = wasFullMesh != m_duty.isFullMesh();
     for (auto &[upstream, entry] : m_entries) {
-        chooseOwners(entry);
+        selectOwners(entry);
         // A new owner does not know this node's requests there; nor, if the data centre shrank to a
         // full mesh, do the nodes that received no reports before.
-        if (entry.m_tracker.view().m_ownInFlight > 0 || isSizeNew)
+        if (entry.m_tracker.view().m_ownInFlight > 0 || hasMeshChanged)
             m_inFlightChanges.touch(entry.m_key);
     }
 }
@@ -134,8 +134,8 @@
         if (!item.m_isLeaving || entry.m_tracker.isVmLeaving())
             continue;
         const LeavingNotice notice = listedLeavingNotice(declaration.m_vm);
-        UpstreamCommands noticed = onNotice(notice, NoticeSource::Local, now, wallNow);
-        commands.insert(commands.end(), noticed.begin(), noticed.end());
+        UpstreamCommands noticeCommands = onNotice(notice, NoticeSource::Local, now, wallNow);
+        commands.insert(commands.end(), noticeCommands.begin(), noticeCommands.end());
     }
     const TimePoint answeredSince = now - 2 * m_settings.m_reportInterval;
     for (UpstreamEntry *missing : detail::recordMissingVms(m_entries, shown, answeredSince)) {
@@ -181,15 +181,15 @@
     }
 }
 
-void UpstreamTable::applyKeptNotices(UpstreamEntry &entry, TimePoint now,
-                                     UpstreamCommands &commands)
+void UpstreamTable::applyRetainedNotices(UpstreamEntry &entry, TimePoint now,
+                                         UpstreamCommands &commands)
 {
     const UpstreamDeclaration &declaration = entry.m_tracker.view().m_declaration;
-    for (const NoticeEffect &concern : m_notices.effectsOn(declaration, now)) {
-        if (concern.m_heldUntil)
-            entry.m_tracker.holdBack(*concern.m_heldUntil, now, commands);
+    for (const NoticeEffect &effect : m_notices.effectsOn(declaration, now)) {
+        if (effect.m_heldUntil)
+            entry.m_tracker.holdBack(*effect.m_heldUntil, now, commands);
         else
-            entry.m_tracker.leave(concern.m_notice, now, commands);
+            entry.m_tracker.leave(effect.m_notice, now, commands);
     }
 }
 
@@ -202,7 +202,7 @@
     return onNotice(drainNotice(upstream, incarnation, wallNow), NoticeSource::Local, now, wallNow);
 }
 
-void UpstreamTable::forgetOld(TimePoint now)
+void UpstreamTable::removeExpired(TimePoint now)
 {
     m_notices.expire(now);
     std::vector<UpstreamId> old;
@@ -229,7 +229,7 @@
     entry->m_failedProbes = 0;
     entry->m_tracker.clearSuspicion(m_settings.m_self);
     entry->m_tracker.recoverIfAnswered(now, commands);
-    shareIfDue(*entry, now);
+    reportIfDue(*entry, now);
     return commands;
 }
 
@@ -247,7 +247,7 @@
     if (entry->m_failedProbes < m_settings.m_suspectAfterFailures)
         return commands;
     entry->m_tracker.recordProbeFailure(m_settings.m_self, reason, now, commands);
-    shareIfDue(*entry, now);
+    reportIfDue(*entry, now);
     return commands;
 }
 
@@ -274,7 +274,7 @@
 
 // --- reports of owners ------------------------------------------------------------------------
 
-void UpstreamTable::shareIfDue(UpstreamEntry &entry, TimePoint now)
+void UpstreamTable::reportIfDue(UpstreamEntry &entry, TimePoint now)
 {
     if (!entry.m_isOwned)
         return;
@@ -340,7 +340,7 @@
     UpstreamEntry *entry = m_entries.find(upstream);
     if (!entry || entry->m_tracker.view().m_ownInFlight == count)
         return;
-    if (isHere(entry->m_tracker.view().m_declaration))
+    if (isLocal(entry->m_tracker.view().m_declaration))
         m_inFlightChanges.touch(entry->m_key);
     if (entry->m_isOwned)
         sumInFlight(*entry, count);
@@ -395,12 +395,12 @@
     const Duration interval = m_duty.interval();
     const SilenceLimits limits{m_settings.m_goneAfter, 2 * interval, m_settings.m_longestSilence};
     for (auto &[upstream, entry] : m_entries) {
-        const UpstreamLocality place = placeOf(entry.m_tracker.view().m_declaration);
+        const UpstreamLocality place = localityOf(entry.m_tracker.view().m_declaration);
         entry.m_tracker.updateByTime(place, entry.m_isListed, limits, now, wallNow, commands);
         if (entry.m_isOwned)
             probeIfDue(entry, interval, now, commands);
     }
-    forgetOld(now);
+    removeExpired(now);
     return commands;
 }
 
