--- a/include/gypsumdale/fleet/membership.hpp
+++ b/include/gypsumdale/fleet/membership.hpp
@@ -137,7 +137,7 @@
     Duration summaryTimeout() const;
     /// Returns whether a reachable data centre no longer lists the node.
     bool isUnlistedRemotely(const Peer &peer, TimePoint now) const;
-    void removeExpired(TimePoint now);
+    void removeExpiredNodes(TimePoint now);
     void sendSummaries(TimePoint now, WallMillis wallNow, MembershipCommands &commands);
     std::optional<NodeIdentity> summaryTarget(const DataCentreId &dataCentre,
                                               const SummarySender &link) const;
--- a/include/gypsumdale/fleet/peer_exchange.hpp
+++ b/include/gypsumdale/fleet/peer_exchange.hpp
@@ -121,7 +121,7 @@
                             WallMillis wallNow);
     void applyHeartbeat(const wire::Heartbeat &heartbeat, TimePoint now,
                         ExchangeCommands &commands);
-    void applyChanges(const wire::Heartbeat &heartbeat, TimePoint now, ExchangeCommands &commands);
+    void applyDeltas(const wire::Heartbeat &heartbeat, TimePoint now, ExchangeCommands &commands);
     void repairNotices(const wire::Heartbeat &heartbeat, TimePoint now, ExchangeCommands &commands);
     ExchangeCommands applyNotices(const std::vector<LeavingNotice> &notices, NoticeSource source,
                                   TimePoint now, WallMillis wallNow);
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -79,7 +79,7 @@
         commands.push_back(SendHeartbeat{peer.m_tracker.identity(), messageFor(peer, now)});
     }
     sendSummaries(now, wallNow, commands);
-    removeExpired(now);
+    removeExpiredNodes(now);
     return commands;
 }
 
@@ -131,7 +131,7 @@
            && m_summaries.isReachable(watch.identity().m_dataCentre, now);
 }
 
-void Membership::removeExpired(TimePoint now)
+void Membership::removeExpiredNodes(TimePoint now)
 {
     std::erase_if(m_peers, [&](const auto &entry) {
         const Peer &peer = entry.second;
--- a/src/fleet/peer_exchange.cpp
+++ b/src/fleet/peer_exchange.cpp
@@ -168,11 +168,11 @@
             ConfigDigestReceived{node, DataCentreId(heartbeat.dataCentre), heartbeat.config});
     repairNotices(heartbeat, now, commands);
     if (isOwnDataCentre(heartbeat.dataCentre))
-        applyChanges(heartbeat, now, commands);
+        applyDeltas(heartbeat, now, commands);
 }
 
-void PeerExchange::applyChanges(const wire::Heartbeat &heartbeat, TimePoint now,
-                                ExchangeCommands &commands)
+void PeerExchange::applyDeltas(const wire::Heartbeat &heartbeat, TimePoint now,
+                               ExchangeCommands &commands)
 {
     const NodeId node(heartbeat.node);
     PeerCursor &cursor = cursorOf(node, heartbeat.incarnation);
