--- a/tests/src/fleet_world.hpp
+++ b/tests/src/fleet_world.hpp
@@ -18,7 +18,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Some nodes, their upstreams and the network between them, on a clock moved by hand.
+/// Several nodes, their upstreams and the network between them, on a clock that the test advances.
 class FleetWorld
 {
 public:
@@ -68,7 +68,7 @@
         m_runners[declaration.m_upstream] = Runner{declaration};
     }
 
-    /// Starts the process of a node, anew if it ran.
+    /// Starts the process of a node, or restarts it if it ran.
     void start(Node &node)
     {
         node.m_identity.m_incarnation = std::max(node.m_identity.m_incarnation + 1, wall());
@@ -106,7 +106,7 @@
             deliver();
     }
 
-    /// Gives a node the cloud's list as it stands, or as given.
+    /// Passes the cloud's list to a node: the current one, or the given one.
     void readList(Node &node, const std::vector<ListedUpstream> &list)
     {
         take(node, node.m_exchange->onVmList({}, list, m_now, wall()));
@@ -129,7 +129,7 @@
         take(node, node.m_exchange->onNotice(notice, m_now, wall()));
     }
 
-    /// Lets time pass in steps of 50 ms; calls the check, if any, after each.
+    /// Advances time in steps of 50 ms; calls the check, if any, after each step.
     void run(Duration duration, const std::function<void()> &check = {})
     {
         constexpr Duration step = milliseconds(50);
@@ -170,7 +170,7 @@
         m_queue.emplace(m_now + milliseconds(1 + m_random(longest)), std::move(action));
     }
 
-    /// Carries something to a node; it waits there while the node is paused.
+    /// Delivers something to a node; while the node is paused it waits there.
     void carry(const NodeId &from, const NodeId &to, std::function<void(Node &)> deliver)
     {
         ++m_messages;
--- a/tests/src/fuzz-config-store.cpp
+++ b/tests/src/fuzz-config-store.cpp
@@ -15,10 +15,11 @@
 #include <variant> // variant, visit
 #include <vector> // vector
 
-// The story behind all of it: an operator lowers a profile's deadline, sees it in force, and later
-// one entry VM serves with the old deadline again. It had restarted while the platform was out, and
-// a peer that was cut off at the time of the change told it an older state. Nothing here knows how
-// the store decides; the oracle is the platform's history and a map of what was in force.
+// Failure guarded against: an operator lowers a profile's deadline, sees the change in force, and
+// later one entry VM serves with the old deadline again. It restarted while the platform was
+// unavailable, and received older state from a peer that was partitioned at the time of the change.
+// The test doesn't use the store's rules; the oracle is the platform's history and a map of what
+// was in force.
 
 using namespace gypsumdale;
 using std::chrono::milliseconds;
@@ -32,7 +33,7 @@
     std::variant<ConfigDigestFrom, ConfigAsk, ConfigUpdate> m_content;
 };
 
-/// The platform as a plain map, with all versions that ever were.
+/// The platform as a plain map with all versions that ever existed.
 struct Platform
 {
     std::map<ConfigKey, ConfigObjects> m_history;
@@ -68,16 +69,16 @@
     NodeId m_id;
     DataCentreId m_dataCentre;
     std::unique_ptr<ConfigStore> m_store;
-    /// A call to the platform that waits for its answer, with the time it was sent.
+    /// A call to the platform that waits for its answer, with the time at which it was sent.
     bool m_listOut = false;
     std::optional<ConfigVersion> m_watchAfter;
     WallMillis m_askedAt = 0;
-    /// The highest version ever in force, per object, over all lives.
+    /// Highest version ever in force, per object, over all incarnations.
     std::map<ConfigKey, ConfigVersion> m_highest;
 };
 
-/// Up to six stores in two data centres, the platform and a network that loses, doubles and
-/// reorders.
+/// Up to six stores in two data centres, the platform, and a network that loses, duplicates and
+/// reorders messages.
 class World
 {
 public:
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Answers, or fails, a node's call to the platform. A watch answers at once when there is
-    /// news.
+    /// Answers or fails a node's call to the platform. A watch is answered immediately if there are
+    /// changes.
     void answerPlatform(std::size_t index)
     {
         auto &node = m_nodes[index];
@@ -174,7 +175,7 @@
                      store.onPlatformWatch(m_platform.changesAfter(after), node.m_askedAt, m_now));
     }
 
-    /// Sends a heartbeat to all, and notes refused connections to stopped ones.
+    /// Sends a heartbeat to all nodes, and records refused connections to stopped ones.
     void beat(std::size_t index)
     {
         if (!m_nodes[index].m_store)
@@ -197,7 +198,7 @@
 
     std::size_t underWay() const { return m_network.size(); }
 
-    /// Takes one message off the network; copies stay there when it is doubled.
+    /// Removes one message from the network and delivers it; a duplicated one stays there too.
     void deliver(std::size_t position, bool isLost, bool isDoubled)
     {
         if (m_network.empty())
@@ -297,8 +298,8 @@
         }
     }
 
-    /// What comes into force is never older than what any life of the node had, and a deletion
-    /// only of what the platform has deleted.
+    /// Checks that what is put in force is never older than what any incarnation of the node had,
+    /// and that a deletion applies only to what the platform has deleted.
     void checkRise(Node &node, const ConfigObject &object)
     {
         auto &highest = node.m_highest[object.m_key];
@@ -306,7 +307,7 @@
         highest = object.m_version;
         if (!object.m_deleted)
             return;
-        // A deletion seen in a snapshot bears the snapshot's version, above its own.
+        // A deletion found in a snapshot has the snapshot's version, above its own.
         ConfigObject last;
         for (const auto &version : m_platform.m_history.at(object.m_key)) {
             if (version.m_version <= object.m_version)
@@ -316,7 +317,8 @@
         highest = last.m_version;
     }
 
-    /// An object that a ready node lacks was deleted, or replaced by a refused body, since.
+    /// An object missing on a ready node was deleted, or replaced by a refused body, in the
+    /// meantime.
     void checkAll(const Node &node) const
     {
         for (const auto &[key, highest] : node.m_highest) {
@@ -340,13 +342,15 @@
     Incarnation m_incarnations = 0;
 };
 
-/// A number below a bound, also in RapidCheck's small cases, which would draw only low ones.
+/// Draws a number below a bound. Its distribution is the same in RapidCheck's small cases, which
+/// would otherwise draw only low numbers.
 std::size_t pick(std::size_t bound)
 {
     return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<std::size_t>(0, bound));
 }
 
-/// One random event. Plain steps are made likelier than faults, so that runs get somewhere.
+/// Executes one random event. Ordinary steps are more likely than faults, so that runs make
+/// progress.
 void step(World &world)
 {
     const auto node = pick(world.size());
@@ -390,7 +394,7 @@
           "[config-store][fuzz]")
 {
     rc::prop("any order of writes, faults and restarts", [] {
-        // Several worlds a case: the rarer failures need some thousand of them.
+        // Several worlds per case: the rarer failures need some thousand worlds.
         constexpr int worlds = 20;
         for (int round = 0; round < worlds; ++round) {
             const auto first = 1 + pick(3);
--- a/tests/src/fuzz-fleet.cpp
+++ b/tests/src/fuzz-fleet.cpp
@@ -32,7 +32,7 @@
     StartRunner
 };
 constexpr int stepCount = 15;
-/// The most actions in one trial.
+/// Maximum number of actions in one trial.
 constexpr int longestStory = 40;
 
 struct Action
@@ -51,7 +51,8 @@
 
 rc::Gen<Action> anyAction()
 {
-    // The size bounds numbers too: without a full one the later steps would never be drawn.
+    // The size also limits numbers: with less than the full size the later steps would never be
+    // drawn.
     constexpr int fullSize = 100;
     return rc::gen::resize(
             fullSize,
@@ -63,8 +64,8 @@
                          }));
 }
 
-/// The oracle: follows what each node could have known, by the truth of the network, and checks
-/// each node's views against it after every step of the clock.
+/// Oracle: derives from the actual state of the network what each node could have known, and checks
+/// each node's view against it after every step of the clock.
 class Oracle
 {
 public:
@@ -72,8 +73,8 @@
         : m_world(world)
     {}
 
-    /// A notice for a zone says nothing of VMs that are there 30 s after its deadline: a node that
-    /// first hears of it then must not hold new VMs for leaving.
+    /// A notice for a zone doesn't apply to VMs that exist 30 s after its deadline: a node that
+    /// first receives it then must not count new VMs as leaving.
     void noticed(const NodeId &node, const UpstreamId &upstream, const std::string &notice,
                  bool isByZone)
     {
@@ -94,7 +95,7 @@
 
     void restarted(const NodeId &node)
     {
-        // A new process knows nothing but what it is told from now on.
+        // A new process knows only what it receives from now on.
         for (auto &[upstream, nodes] : m_closed)
             nodes.erase(node);
         for (auto &[upstream, notices] : m_notices) {
@@ -126,7 +127,8 @@
     }
 
 private:
-    /// How long the pair has been able to talk, in time in which the first of them ran.
+    /// Records how long the pair has been able to communicate, in time in which the first of them
+    /// ran.
     void follow(const NodeId &name, const FleetWorld::Node &node, const NodeId &other,
                 const FleetWorld::Node &peer)
     {
@@ -149,7 +151,8 @@
             Incarnation &deadAt = m_seenDead[name][change.m_node];
             if (change.m_state == NodeState::Dead) {
                 deadAt = std::max(deadAt, change.m_incarnation);
-                // False death: they could talk all along, by this node's own running time.
+                // Guards against a node that is falsely counted as dead: the pair could communicate
+                // all along, measured by this node's own running time.
                 RC_ASSERT((m_connected[{name, change.m_node}] < milliseconds(2400)));
                 RC_ASSERT(isMissedByAnother(name, change.m_node));
             } else {
@@ -158,8 +161,8 @@
         }
     }
 
-    /// A second witness: another node of the data centre that could not talk with the subject
-    /// lately either.
+    /// Requires a second witness: another node of the data centre that could not communicate with
+    /// the subject recently either.
     bool isMissedByAnother(const NodeId &observer, const NodeId &subject)
     {
         const auto &dataCentre = m_world.m_nodes.at(subject).m_identity.m_dataCentre;
@@ -172,8 +175,8 @@
         return false;
     }
 
-    /// What one notice says of an upstream. Who knows of another one alone can't tell of it: a
-    /// notice that binds no longer is not passed on as one that does.
+    /// What one notice means for an upstream. A node that knows only of another notice can't
+    /// announce this one: a notice that is no longer binding is not forwarded as one that is.
     struct Notice
     {
         TimePoint m_bindsUntil{};
@@ -197,7 +200,7 @@
                 m_closed[upstream].insert(name);
                 continue;
             }
-            // Sticky: once leaving here, it is never open again.
+            // Once an upstream is leaving on a node, it must never be open again there.
             RC_ASSERT(!m_closed[upstream].contains(name));
             for (const auto &[id, notice] : notices) {
                 if (m_world.now() >= notice.m_bindsUntil)
@@ -211,7 +214,7 @@
         }
     }
 
-    /// The longest time this node could have been told by one that knew.
+    /// Returns the longest time in which this node could have received it from one that knew.
     Duration longestContact(const NodeId &name, const FleetWorld::Node &node,
                             const std::map<NodeId, TimePoint> &told)
     {
@@ -227,13 +230,13 @@
 
     FleetWorld &m_world;
     std::map<std::pair<NodeId, NodeId>, Duration> m_connected;
-    /// The same in plain time, and only while both ran.
+    /// The same in elapsed time, and only while both ran.
     std::map<std::pair<NodeId, NodeId>, Duration> m_contact;
     std::map<NodeId, std::map<NodeId, Incarnation>> m_seenDead;
     std::map<NodeId, std::size_t> m_changesRead;
     /// By the notice's id.
     std::map<UpstreamId, std::map<std::string, Notice>> m_notices;
-    /// Nodes that hold an upstream for leaving.
+    /// Nodes that count an upstream as leaving.
     std::map<UpstreamId, std::set<NodeId>> m_closed;
 };
 
@@ -292,7 +295,7 @@
             notice(first.second, runner.second.m_declaration.m_vm);
             break;
         case Step::ZoneNotice:
-            // Rarely: it ends most of what else can be seen.
+            // Rare, as it ends most of what else can be observed.
             if (action.m_second < 10)
                 notice(first.second, VmId());
             break;
@@ -313,7 +316,7 @@
         run(milliseconds(100 * action.m_tenths));
     }
 
-    /// After everything healed all nodes see each other and the same upstreams.
+    /// After all faults have ended, all nodes see each other and the same upstreams.
     void settle()
     {
         m_world.heal();
@@ -336,7 +339,7 @@
             RC_ASSERT(node.m_exchange->upstreams().noticesDigest() == reference.noticesDigest());
             for (const auto &[upstream, runner] : m_world.m_runners) {
                 const UpstreamView *view = node.m_exchange->upstreams().find(upstream);
-                // A VM that comes back up long after its zone was reclaimed is beyond the contract.
+                // A VM that returns long after its zone was reclaimed is outside the contract.
                 if (!m_oracle.isBinding(upstream))
                     continue;
                 RC_ASSERT(view->isOpen() == reference.find(upstream)->isOpen());
@@ -396,9 +399,10 @@
 
 } // namespace
 
-// Nodes are cut off one way and both, paused, restarted, and lose messages, while notices come in
-// at any of them and the list lags. No user may see work sent to an upstream whose leaving the node
-// could have known, or a job taken over from a node that was well.
+// Failure guarded against: work is sent to an upstream although the node could have known that it
+// is leaving, or a job is taken over from a node that works. Nodes are cut off in one direction or
+// both, paused and restarted, and lose messages, while notices arrive at any of them and the list
+// lags.
 TEST_CASE("Views follow the truth of the network, and converge when it heals")
 {
     const bool holds = rc::check([] {
--- a/tests/src/unit-config-store.cpp
+++ b/tests/src/unit-config-store.cpp
@@ -118,9 +118,9 @@
     }
 }
 
-// An operator sees a change in force on one entry VM. The VM restarts, the platform is out, and its
-// neighbour, which never heard of the change, answers with the older version. Callers of the
-// restarted VM get the old deadline.
+// Failure guarded against: an operator sees a change in force on one entry VM. The VM restarts
+// while the platform is unavailable, and its neighbour, which never received the change, answers
+// with the older version. Callers of the restarted VM get the old deadline.
 TEST_CASE("a version comes into force only when it can't be lost with this node", "[config-store]")
 {
     auto store = makeStore({NodeId("a-2")});
@@ -142,8 +142,8 @@
     {
         store.onPeerGone(NodeId("a-2"), start - seconds(1));
         CHECK_FALSE(store.isReady());
-        // At the instant of learning it is no proof: the peer may have begun another life and heard
-        // from this node just before.
+        // Not a proof at the instant of learning: the peer may have started another incarnation and
+        // received data from this node just before.
         store.onPeerGone(NodeId("a-2"), start);
         CHECK_FALSE(store.isReady());
         store.onPeerGone(NodeId("a-2"), start + milliseconds(1));
@@ -202,8 +202,8 @@
         CHECK(store.isReady());
         CHECK(versionOf(store) == 9);
     }
-    // Found by the fuzz test: the former life had version 4 in force; one peer still has version 1,
-    // the other knows version 7, which is refused. Version 1 came into force.
+    // Found by the fuzz test: the former incarnation had version 4 in force; one peer still has
+    // version 1, the other knows version 7, which is refused. Version 1 was put in force.
     SECTION("an old version under a refused one is not put in force")
     {
         store.onUpdate(answer("a-3", {0, 8, {object(7, "nonsense")}}, true), start);
@@ -222,8 +222,9 @@
     }
 }
 
-// The relay lives, but its way to the platform is cut. Without a second reader a change would not
-// come into force in its data centre until the relay is replaced.
+// Failure guarded against: the relay is alive, but its path to the platform is interrupted. Without
+// a second reader a change would not be put in force in its data centre until the relay is
+// replaced.
 TEST_CASE("a relay that brings no news is passed over", "[config-store]")
 {
     std::vector<NodeId> live;
@@ -232,7 +233,7 @@
     auto store = makeStore({NodeId("a-2")});
     store.start(start);
     store.onPlatformList({0, 5, {}}, startWall, start);
-    // Alone it began to watch; that one ends before the others are met.
+    // While alone the node started a watch; that one ends before the other nodes are known.
     store.onPlatformWatch({5, 6, {}}, startWall, start);
     store.onPlatformFailed(start);
     store.onLiveNodes(live, start);
--- a/tests/src/unit-drain.cpp
+++ b/tests/src/unit-drain.cpp
@@ -24,8 +24,9 @@
 
 } // namespace
 
-// A balancer goes on sending to a VM until its check fails. If the VM stopped accepting at once,
-// the buyers of the next seconds would be refused although nothing is wrong.
+// Failure guarded against: a load balancer continues to send to a VM until its health check fails.
+// If the VM stopped accepting immediately, the requests of the next seconds would be refused
+// although it could serve them.
 TEST_CASE("Readiness fails first, and the process serves on until the balancer has noticed")
 {
     Drain drain{DrainSettings()};
@@ -33,7 +34,7 @@
     CHECK(findIn<FailReadiness>(drain.begin(DrainCause::Signal, std::nullopt, start)));
     CHECK_FALSE(drain.isReady());
     CHECK(drain.isAccepting());
-    // Nothing in flight right now, yet the balancer still sends.
+    // Nothing is in flight at this moment, but the load balancer still sends.
     CHECK(drain.tick(start + milliseconds(4900)).empty());
     CHECK(drain.phase() == DrainPhase::NotReady);
 
@@ -48,8 +49,8 @@
     CHECK(drain.phase() == DrainPhase::Done);
 }
 
-// A clerk's parish report streams for half a minute when the planned stop comes. It must arrive
-// whole: the process waits for it.
+// Failure guarded against: a response that streams for half a minute is cut by a planned stop. The
+// process must wait for it, so that it is complete.
 TEST_CASE("What is in flight finishes while the deadline allows")
 {
     Drain drain{DrainSettings()};
@@ -72,7 +73,7 @@
     const DrainCommands handOver = drain.tick(start + milliseconds(6500));
     REQUIRE(findIn<HandOverJobs>(handOver));
     CHECK(findIn<HandOverJobs>(handOver)->m_until == start + milliseconds(11500));
-    // It is asked for once.
+    // Requested only once.
     CHECK(drain.tick(start + seconds(7)).empty());
 
     drain.setUnfinished({2, 0});
@@ -110,8 +111,8 @@
     }
 }
 
-// A notice of two seconds leaves no time for the usual wait: a third goes to the balancer, the jobs
-// are handed over at once, and half a second stays for closing.
+// A notice of two seconds leaves no time for the usual wait: a third is spent on the load balancer,
+// the jobs are handed over immediately, and half a second remains for closing.
 TEST_CASE("A short notice is divided up")
 {
     Drain drain{DrainSettings()};
--- a/tests/src/unit-leaving-silence.cpp
+++ b/tests/src/unit-leaving-silence.cpp
@@ -5,10 +5,10 @@
 using namespace gypsumdale;
 using namespace gypsumdale::test;
 
-// An entry VM is reclaimed, hands its jobs over, and dies before it has handed over the last one.
-// The other node of its data centre goes on taking it for a node that leaves, however long it is
-// silent: silence makes only an open node suspect. Nobody takes the last job over, and its caller
-// waits in vain.
+// Failure guarded against: an entry VM is reclaimed, hands its jobs over, and dies before the last
+// one is handed over. The other node of its data centre still counts it as a leaving node, however
+// long it is silent, since silence makes only an open node suspect. Nobody takes over the last job,
+// and its caller waits in vain.
 TEST_CASE("a leaving node that falls silent is not taken for one that is still there")
 {
     FleetWorld world;
--- a/tests/src/unit-membership.cpp
+++ b/tests/src/unit-membership.cpp
@@ -50,7 +50,7 @@
 
     SECTION("one that is no seed is learned from a peer's list")
     {
-        // banos-4 knows all; banos-1 to 3 were started before it and do not name it.
+        // banos-4 knows all the others; banos-1 to 3 were started before it and do not name it.
         world.addNode("banos-4", "banos");
         world.cut(NodeId("banos-4"), NodeId("banos-1"));
         world.run(seconds(3));
@@ -69,9 +69,9 @@
     }
 }
 
-// A clerk's report is resumed on another VM only once its node is dead, so a node that merely fell
-// silent to one other must not be taken for dead. The link between two nodes goes silent for good
-// while both still talk with the third; then the node really dies.
+// A job is taken over by another VM only once its node is dead, so a node that is silent for one
+// other node alone must not count as dead. Here the link between two nodes fails permanently while
+// both still reach the third; then the node really dies.
 TEST_CASE("Silence makes a suspect, and only a second witness makes it dead")
 {
     FleetWorld world = threeNodes();
@@ -86,7 +86,8 @@
     CHECK(stateAt(world, "banos-1", "banos-2") == NodeState::Dead);
     CHECK(stateAt(world, "banos-3", "banos-2") == NodeState::Dead);
 
-    // It was only paused. It may not simply be alive again: its jobs may be others' by now.
+    // The node was only paused. It must not simply become alive again: its jobs may have been taken
+    // over.
     const Incarnation before = world.node("banos-2").m_identity.m_incarnation;
     world.heal();
     world.resume(world.node("banos-2"));
@@ -96,8 +97,9 @@
     CHECK(world.node("banos-2").m_identity.m_incarnation > before);
 }
 
-// The host stops a VM for half a minute. When it goes on, its last word from everybody is thirty
-// seconds old. Were that silence, it would hold the whole data centre for dead and take its jobs.
+// Failure guarded against: the host pauses a VM for half a minute. When it continues, the last
+// message from every peer is thirty seconds old. If that counted as silence, it would count the
+// whole data centre as dead and take over its jobs.
 TEST_CASE("A pause of the observer makes nobody dead")
 {
     FleetWorld world = threeNodes();
@@ -111,8 +113,8 @@
     CHECK(stateAt(world, "banos-2", "banos-1") == NodeState::Alive);
 }
 
-// A node cut off from all others hears nobody. It is more likely the one that is cut off than the
-// last one alive: nobody can confirm, so it holds nobody for dead.
+// A node that receives nothing from any other is more likely cut off itself than the last one
+// alive: nobody can confirm the silence, so it counts no node as dead.
 TEST_CASE("A node that hears nobody holds nobody for dead")
 {
     FleetWorld world = threeNodes();
@@ -135,7 +137,7 @@
     exchange.onVmList({listed}, {}, world.now(), world.wall());
     exchange.onVmList({}, {}, world.now(), world.wall());
     world.run(seconds(3));
-    // It is heard, so the list is wrong or late.
+    // Its heartbeats arrive, so the list is wrong or late.
     CHECK(stateAt(world, "banos-1", "banos-2") == NodeState::Alive);
     world.pause(world.node("banos-2"));
     world.run(seconds(3));
@@ -161,8 +163,9 @@
     }
 }
 
-// A VM is replaced under the same name and its clock runs an hour behind. Its incarnation is lower
-// than the last one, and all its heartbeats would be taken for old ones for that hour.
+// Failure guarded against: a VM is replaced under the same name and its clock is an hour behind.
+// Its incarnation is lower than the last one, and all its heartbeats would be ignored as old for
+// that hour.
 TEST_CASE("A node whose clock was set back raises its incarnation")
 {
     FleetWorld world = threeNodes();
@@ -202,7 +205,7 @@
 
     SECTION("and stay in touch when the chosen nodes die")
     {
-        // Whichever nodes exchange the summaries, one pair is left.
+        // Whichever nodes exchange the summaries, one pair can still communicate.
         for (const char *name : {"centro-1", "centro-2", "banos-1", "banos-2"})
             world.pause(world.node(name));
         world.run(seconds(40));
@@ -227,9 +230,9 @@
     }
 }
 
-// Two nodes of a data centre send their summaries in the same millisecond, step by step; only the
-// second one's brings the list of nodes. Its list was dropped with the summary, each time anew, and
-// a restarted node stayed suspect over there.
+// Failure guarded against: two nodes of a data centre send their summaries in the same millisecond
+// at every step; only the second one's contains the list of nodes. Its list was dropped with the
+// summary each time, and a restarted node stayed suspect in the other data centre.
 TEST_CASE("A list of nodes is taken from a summary that is no news itself")
 {
     const TimePoint now = TimePoint() + seconds(100);
@@ -253,9 +256,10 @@
     CHECK(held.m_summary.m_nodes->size() == 1);
 }
 
-// A node that speaks for its data centre restarts, and the other data centre learns its new
-// incarnation from a neighbour's summary first. The new process counts its heartbeats from 1 again;
-// held against the old process's count they were all dropped, and the data centre stayed suspect.
+// Failure guarded against: a node that represents its data centre restarts, and the other data
+// centre learns its new incarnation from a neighbour's summary first. The new process numbers its
+// heartbeats from 1 again; compared with the number of the old process they were all dropped, and
+// the data centre stayed suspect.
 TEST_CASE("A restarted node is heard although a summary told of it first")
 {
     const TimePoint now = TimePoint() + seconds(100);
@@ -310,8 +314,9 @@
     CHECK(toMillis(membership.heartbeatInterval()) == Approx(1433).epsilon(0.01));
 }
 
-// A member's tokens counted before its entry VM's peer restarted must reach the new process too:
-// were the old acknowledgement believed, the member would look unserved there and get too much.
+// Tokens of a member that were counted before the peer of its entry VM restarted must reach the new
+// process too: if the old acknowledgement were accepted, the member would seem unserved there and
+// get too much.
 TEST_CASE("A restarted node is told everything again")
 {
     FleetWorld world = threeNodes();
@@ -321,7 +326,7 @@
     auto &second = world.node("banos-2");
     REQUIRE_FALSE(second.m_tokens.empty());
     CHECK(second.m_tokens.back().m_tokens == 500);
-    // Once acknowledged it is not said again.
+    // Once acknowledged it is not sent again.
     second.m_tokens.clear();
     world.run(seconds(5));
     CHECK(second.m_tokens.empty());
--- a/tests/src/unit-upstream-table.cpp
+++ b/tests/src/unit-upstream-table.cpp
@@ -112,9 +112,9 @@
     }
 }
 
-// A zone's reclaim gives seconds. One node reads the notice; a buyer's request that comes in at
-// another one a second later must not be sent to the VM that goes, although the list still says
-// live and the engine still answers.
+// Failure guarded against: a zone's reclaim leaves only seconds. One node reads the notice; a
+// request that arrives at another one a second later must not be sent to the VM that is leaving,
+// although the list still shows it as live and the engine still answers.
 TEST_CASE("A notice that one node reads stops new work on all within a second")
 {
     FleetWorld world = worldWithRunners();
@@ -130,7 +130,7 @@
         world.readLists();
         world.run(seconds(20));
         CHECK(stateAt(world, "banos-1", "r-2") == UpstreamState::Leaving);
-        // Nor does its engine when it starts anew on the VM that goes.
+        // The same holds if its engine restarts on the VM that is leaving.
         world.m_runners.at(UpstreamId("r-2")).m_incarnation = 2;
         world.run(seconds(5));
         CHECK(stateAt(world, "banos-1", "r-2") == UpstreamState::Leaving);
@@ -147,8 +147,9 @@
     }
 }
 
-// A data centre's thousand VMs are reclaimed one by one in a single answer of the cloud. Were each
-// spread on its own, a node would send a thousand messages to each peer in a second.
+// Failure guarded against: a thousand VMs of a data centre are reclaimed one by one in a single
+// answer of the cloud. If each notice were sent separately, a node would send a thousand messages
+// to each peer in a second.
 TEST_CASE("Notices that came together go to each peer in one message")
 {
     FleetWorld world = worldWithRunners();
@@ -162,8 +163,9 @@
     CHECK(std::count_if(commands.begin(), commands.end(), isMessage) == 2);
 }
 
-// The one message with the notice is lost. Nothing else would ever tell the third node: the list
-// shows the VM live for half a minute. The digest in the next heartbeat shows that it missed one.
+// Failure guarded against: the only message with the notice is lost. The third node would not learn
+// of it otherwise, as the list shows the VM as live for half a minute. The digest in the next
+// heartbeat shows that it missed one.
 TEST_CASE("A lost notice is repaired by heartbeats")
 {
     FleetWorld world = worldWithRunners();
@@ -213,8 +215,8 @@
         CHECK(candidatesAt(world, "banos-1") == 4);
     }
 
-    // The cloud's interface answers with an empty list for a minute. Every engine is well; were the
-    // list believed, every clerk would be refused.
+    // The cloud's interface answers with an empty list for a minute while every engine works; if
+    // the list were accepted, every request would be refused.
     SECTION("but not when it comes empty while the VMs answer")
     {
         for (int read = 0; read < 20; ++read) {
@@ -242,7 +244,7 @@
 
     table.onLoad(upstream, {6, 4, 0, 0, 0}, start + seconds(61));
     CHECK(table.find(upstream)->m_state == UpstreamState::Live);
-    // An answer of the old process that comes late changes nothing.
+    // A late answer of the old process changes nothing.
     table.onLoad(upstream, {5, 1, 1, 0, 0}, start + seconds(62));
     CHECK(table.find(upstream)->m_load.m_slots == 4);
 }
@@ -267,7 +269,8 @@
         tellers += table.inFlightFor(node, 0).size();
     CHECK(tellers == 2);
 
-    // Back among few, those that were not told hear that the requests have ended.
+    // With few nodes again, those that received no reports before learn that the requests have
+    // ended.
     nodes.resize(3);
     table.setNodes(nodes);
     REQUIRE(table.inFlightFor(nodes[2], told).size() == 1);
@@ -322,6 +325,6 @@
     REQUIRE(std::holds_alternative<RouteRemote>(gone));
     const auto &order = std::get<RouteRemote>(gone).m_dataCentres;
     CHECK(order == std::vector<DataCentreId>{DataCentreId("other-5"), DataCentreId("other-1")});
-    // A summary that is too old says nothing any more.
+    // A summary that is too old is ignored.
     CHECK(std::holds_alternative<RouteUnavailable>(route(start + seconds(60))));
 }
