--- a/include/gypsumdale/fleet/membership.hpp
+++ b/include/gypsumdale/fleet/membership.hpp
@@ -140,8 +140,8 @@
     void removeExpiredNodes(TimePoint now);
     void sendSummaries(TimePoint now, WallMillis wallNow, MembershipCommands &commands);
     std::optional<NodeIdentity> summaryTarget(const DataCentreId &dataCentre,
-                                              const SummarySender &link) const;
-    DataCentreSummary ownSummary(SummarySender &link, WallMillis wallNow) const;
+                                              const SummarySender &sender) const;
+    DataCentreSummary ownSummary(SummarySender &sender, WallMillis wallNow) const;
     MembershipMessage messageToDataCentre(const DataCentreId &dataCentre, WallMillis wallNow);
     void attachNodes(Peer &peer, MembershipMessage &message, TimePoint now);
     std::vector<NodeIdentity> ownNodes() const;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -87,8 +87,8 @@
 {
     std::size_t size = 0;
     for (const auto &[node, peer] : m_peers) {
-        const NodeStateTracker &watch = peer.m_tracker;
-        size += !watch.isDead() && isOwn(watch.identity().m_dataCentre) ? 1 : 0;
+        const NodeStateTracker &tracker = peer.m_tracker;
+        size += !tracker.isDead() && isOwn(tracker.identity().m_dataCentre) ? 1 : 0;
     }
     return size;
 }
@@ -104,14 +104,15 @@
 void Membership::detectSilence(Peer &peer, TimePoint now, MembershipCommands &commands)
 {
     const Duration activeTime = m_clock.activeTime();
-    NodeStateTracker &watch = peer.m_tracker;
-    watch.detectSilence(m_settings.m_suspectAfter * m_pacer.interval(), activeTime, now, commands);
+    NodeStateTracker &tracker = peer.m_tracker;
+    tracker.detectSilence(m_settings.m_suspectAfter * m_pacer.interval(), activeTime, now,
+                          commands);
     const Duration deadAfter =
             std::max(m_settings.m_suspectAfter, m_settings.m_deadAfter) * m_pacer.interval();
-    if (watch.isDead() || watch.silence(activeTime) < deadAfter)
+    if (tracker.isDead() || tracker.silence(activeTime) < deadAfter)
         return;
-    if (const std::optional<NodeId> witness = findWitness(watch.identity()))
-        watch.confirmDead(*witness, activeTime, now, commands);
+    if (const std::optional<NodeId> witness = findWitness(tracker.identity()))
+        tracker.confirmDead(*witness, activeTime, now, commands);
 }
 
 std::optional<NodeId> Membership::findWitness(const NodeIdentity &silent) const
@@ -126,20 +127,20 @@
 
 bool Membership::isUnlistedRemotely(const Peer &peer, TimePoint now) const
 {
-    const NodeStateTracker &watch = peer.m_tracker;
-    return watch.state() == NodeState::Suspect
-           && m_summaries.isReachable(watch.identity().m_dataCentre, now);
+    const NodeStateTracker &tracker = peer.m_tracker;
+    return tracker.state() == NodeState::Suspect
+           && m_summaries.isReachable(tracker.identity().m_dataCentre, now);
 }
 
 void Membership::removeExpiredNodes(TimePoint now)
 {
     std::erase_if(m_peers, [&](const auto &entry) {
         const Peer &peer = entry.second;
-        const NodeStateTracker &watch = peer.m_tracker;
-        const bool isNeverSeen = watch.identity().m_incarnation == 0;
-        const bool isObsolete = watch.isDead() || isNeverSeen || isUnlistedRemotely(peer, now);
-        const bool isNamed = peer.m_isSeed || watch.isListed();
-        const Duration age = now - watch.view().m_stateSince;
+        const NodeStateTracker &tracker = peer.m_tracker;
+        const bool isNeverSeen = tracker.identity().m_incarnation == 0;
+        const bool isObsolete = tracker.isDead() || isNeverSeen || isUnlistedRemotely(peer, now);
+        const bool isNamed = peer.m_isSeed || tracker.isListed();
+        const Duration age = now - tracker.view().m_stateSince;
         return isObsolete && !isNamed && age > m_settings.m_forgetAfter;
     });
 }
@@ -164,12 +165,12 @@
     // Must come first: two nodes that count each other as dead accept nothing else from each other.
     refuteSelfSuspicion(message, received.m_commands);
     Peer &peer = ensure(message.m_from, now);
-    const HeartbeatFreshness news =
+    const HeartbeatFreshness freshness =
             peer.m_tracker.recordHeartbeat(message, m_clock.activeTime(), now, received.m_commands);
-    if (news == HeartbeatFreshness::None)
+    if (freshness == HeartbeatFreshness::None)
         return received;
     received.m_isFresh = true;
-    if (news == HeartbeatFreshness::FromNewProcess)
+    if (freshness == HeartbeatFreshness::FromNewProcess)
         peer.m_sentSummaries.clear();
     peer.m_nodesDigest = message.m_nodesDigest;
     const bool isDirect = !isOwn(message.m_from.m_dataCentre);
@@ -271,12 +272,13 @@
 {
     MembershipMessage message = baseMessage();
     for (const auto &[node, other] : m_peers) {
-        const NodeStateTracker &watch = other.m_tracker;
-        const bool isSilent = watch.isDead()
-                              || watch.silence(m_clock.activeTime())
+        const NodeStateTracker &tracker = other.m_tracker;
+        const bool isSilent = tracker.isDead()
+                              || tracker.silence(m_clock.activeTime())
                                          >= m_settings.m_suspectAfter * m_pacer.interval();
-        if (isSilent && isOwn(watch.identity().m_dataCentre))
-            message.m_suspicions.push_back({node, watch.identity().m_incarnation, watch.isDead()});
+        if (isSilent && isOwn(tracker.identity().m_dataCentre))
+            message.m_suspicions.push_back(
+                    {node, tracker.identity().m_incarnation, tracker.isDead()});
     }
     attachNodes(peer, message, now);
     message.m_summaries = m_summaries.unsentFor(peer.m_sentSummaries);
@@ -320,12 +322,12 @@
 {
     const std::vector<NodeId> duties = dutyNodes();
     for (const DataCentreId &dataCentre : otherDataCentres()) {
-        SummarySender &link = m_senders[dataCentre];
-        if (!link.startIfDue(m_settings.m_summaryInterval, now))
+        SummarySender &sender = m_senders[dataCentre];
+        if (!sender.startIfDue(m_settings.m_summaryInterval, now))
             continue;
         if (!isRendezvousChoice(summaryKey(dataCentre), duties, 1, self().m_node))
             continue;
-        const std::optional<NodeIdentity> target = summaryTarget(dataCentre, link);
+        const std::optional<NodeIdentity> target = summaryTarget(dataCentre, sender);
         if (!target)
             continue;
         commands.push_back(SendHeartbeat{*target, messageToDataCentre(dataCentre, wallNow)});
@@ -333,7 +335,7 @@
 }
 
 std::optional<NodeIdentity> Membership::summaryTarget(const DataCentreId &dataCentre,
-                                                      const SummarySender &link) const
+                                                      const SummarySender &sender) const
 {
     std::vector<NodeId> names;
     for (const auto &[node, peer] : m_peers) {
@@ -346,7 +348,7 @@
         return std::nullopt;
     const std::string key = summaryKey(self().m_dataCentre);
     const std::vector<NodeId> ranked = rendezvousChoice(key, names, names.size());
-    const NodeId &chosen = ranked[link.failures() % ranked.size()];
+    const NodeId &chosen = ranked[sender.failures() % ranked.size()];
     return m_peers.at(chosen).m_tracker.identity();
 }
 
@@ -359,7 +361,7 @@
     return message;
 }
 
-DataCentreSummary Membership::ownSummary(SummarySender &link, WallMillis wallNow) const
+DataCentreSummary Membership::ownSummary(SummarySender &sender, WallMillis wallNow) const
 {
     DataCentreSummary summary;
     summary.m_dataCentre = self().m_dataCentre;
@@ -368,7 +370,7 @@
     summary.m_services = m_services;
     const std::vector<NodeIdentity> nodes = ownNodes();
     summary.m_nodesDigest = digestOf(nodes);
-    if (link.includesNodeList(summary.m_nodesDigest, m_settings.m_summariesPerNodeList))
+    if (sender.includesNodeList(summary.m_nodesDigest, m_settings.m_summariesPerNodeList))
         summary.m_nodes = nodes;
     return summary;
 }
--- a/src/fleet/upstream_table.cpp
+++ b/src/fleet/upstream_table.cpp
@@ -151,12 +151,12 @@
                                          TimePoint now, WallMillis wallNow)
 {
     UpstreamCommands commands;
-    const NoticeStatus news = m_notices.take(notice, now, wallNow);
-    if (news == NoticeStatus::Known)
+    const NoticeStatus status = m_notices.take(notice, now, wallNow);
+    if (status == NoticeStatus::Known)
         return commands;
     // After a long partition an old zone notice may arrive when the zone has new VMs, to which it
     // doesn't apply.
-    if (news == NoticeStatus::Late && notice.m_cause == LeavingCause::ZoneReclaim)
+    if (status == NoticeStatus::Late && notice.m_cause == LeavingCause::ZoneReclaim)
         return commands;
     applyNotice(notice, now, commands);
     if (source != NoticeSource::OwnDataCentre)
