--- a/src/fleet/config_writer.cpp
+++ b/src/fleet/config_writer.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr std::string_view writeIdMark = "# write: ";
+constexpr std::string_view writeIdPrefix = "# write: ";
 
-/// Calls that one write may take before it is given up.
-constexpr int mostCalls = 8;
+/// Maximum number of calls of one write.
+constexpr int maxCalls = 8;
 
-/// Returns where the body's last line starts.
+/// Returns the position at which the body's last line starts.
 std::size_t lastLine(std::string_view body)
 {
     const auto end = body.find_last_not_of('\n');
@@ -25,29 +25,29 @@
 
 std::string withWriteId(std::string_view body, std::string_view writeId)
 {
-    std::string marked(body);
+    std::string tagged(body);
     if (writeIdOf(body))
-        marked.resize(lastLine(body));
-    if (!marked.empty() && marked.back() != '\n')
-        marked += '\n';
-    marked += writeIdMark;
-    marked += writeId;
-    marked += '\n';
-    return marked;
+        tagged.resize(lastLine(body));
+    if (!tagged.empty() && tagged.back() != '\n')
+        tagged += '\n';
+    tagged += writeIdPrefix;
+    tagged += writeId;
+    tagged += '\n';
+    return tagged;
 }
 
 std::optional<std::string> writeIdOf(std::string_view body)
 {
     auto line = body.substr(lastLine(body));
-    if (!line.starts_with(writeIdMark))
+    if (!line.starts_with(writeIdPrefix))
         return std::nullopt;
-    line.remove_prefix(writeIdMark.size());
+    line.remove_prefix(writeIdPrefix.size());
     return std::string(line.substr(0, line.find('\n')));
 }
 
 ConfigWriter::ConfigWriter(ConfigEdit edit)
     : m_edit(std::move(edit))
-    , m_callsLeft(mostCalls)
+    , m_callsLeft(maxCalls)
 {}
 
 ConfigWriterStep ConfigWriter::start()
@@ -73,16 +73,16 @@
 
 ConfigWriterStep ConfigWriter::onRefused(const Error &error)
 {
-    // An earlier send whose answer was lost may still have taken effect.
+    // An earlier call whose answer was lost may still have taken effect.
     if (m_answerLost)
-        return readAgain(error);
+        return readBack(error);
     return EditFailed{error};
 }
 
 ConfigWriterStep ConfigWriter::onAnswerLost(const Error &error)
 {
     m_answerLost = true;
-    return readAgain(error);
+    return readBack(error);
 }
 
 ConfigWriterStep ConfigWriter::onRead(const std::optional<ConfigObject> &object)
@@ -95,22 +95,22 @@
         return EditAccepted{0};
     if (object && !m_edit.m_delete && writeIdOf(object->m_body) == m_edit.m_writeId)
         return EditAccepted{version};
-    // The same write again is harmless: both carry the condition, so at most one takes effect.
+    // Repeating the write is safe: both calls are conditional, so at most one takes effect.
     if (isUntouched && --m_callsLeft > 0)
         return write();
-    return EditUnknown{
-            {ErrorId::PlatformAnswerLost, "the answer was lost, and it can't be told if it worked"},
-            object};
+    return EditUnknown{{ErrorId::PlatformAnswerLost,
+                        "the answer was lost, and it is unknown whether the change took effect"},
+                       object};
 }
 
 ConfigWriterStep ConfigWriter::onReadFailed(const Error &error)
 {
     if (m_answerLost)
-        return readAgain(error);
+        return readBack(error);
     return EditConflict{m_edit.m_editedVersion, m_edit.m_body, std::nullopt, false};
 }
 
-ConfigWriterStep ConfigWriter::readAgain(const Error &error)
+ConfigWriterStep ConfigWriter::readBack(const Error &error)
 {
     if (--m_callsLeft > 0)
         return ReadObject{m_edit.m_key};
--- a/src/fleet/heartbeat_pacing.cpp
+++ b/src/fleet/heartbeat_pacing.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-/// Dead nodes are still tried, this many times more rarely, so that a healed cut is noticed.
+/// Factor for the interval of heartbeats to dead nodes, which continue so that the end of a
+/// partition is noticed.
 constexpr int deadIntervalFactor = 10;
-/// The node that does not start the exchanges of a pair does so after this many intervals, if
-/// nothing came.
-constexpr double secondIntervalFactor = 1.5;
-/// The weight of the newest heartbeat in the mean of their sizes.
+/// Number of intervals without a heartbeat after which the second node of a pair starts an
+/// exchange.
+constexpr double responderIntervalFactor = 1.5;
+/// Weight of the newest heartbeat in the moving average of sizes.
 constexpr double sizeWeight = 0.05;
 
 } // namespace
 
 HeartbeatPacing::HeartbeatPacing(const MembershipSettings &settings)
-    : m_shortest(settings.m_heartbeatInterval)
-    , m_longest(settings.m_longestInterval)
+    : m_minInterval(settings.m_heartbeatInterval)
+    , m_maxInterval(settings.m_longestInterval)
     , m_bytesPerSecond(settings.m_bytesPerSecond)
     , m_interval(settings.m_heartbeatInterval)
 {}
@@ -34,11 +35,11 @@
 
 void HeartbeatPacing::setPeers(std::size_t peers)
 {
-    // An exchange with each peer is a heartbeat out and one in.
+    // An exchange with each peer is one heartbeat sent and one received.
     const double bytes = 2 * m_heartbeatBytes * static_cast<double>(peers);
     const std::chrono::duration<double> affordable(bytes / m_bytesPerSecond);
     const auto wanted = std::chrono::duration_cast<Duration>(affordable);
-    m_interval = std::clamp(wanted, m_shortest, m_longest);
+    m_interval = std::clamp(wanted, m_minInterval, m_maxInterval);
 }
 
 Duration HeartbeatPacing::dueAfter(HeartbeatRole role, NodeState state) const
@@ -46,7 +47,7 @@
     if (state == NodeState::Dead)
         return m_interval * deadIntervalFactor;
     if (role == HeartbeatRole::Responder)
-        return std::chrono::duration_cast<Duration>(m_interval * secondIntervalFactor);
+        return std::chrono::duration_cast<Duration>(m_interval * responderIntervalFactor);
     return m_interval;
 }
 
