--- a/include/gypsumdale/jobs/answer_assembler.hpp
+++ b/include/gypsumdale/jobs/answer_assembler.hpp
@@ -11,17 +11,18 @@
 
 namespace gypsumdale {
 
-/// One event of an engine's stream. The views live as long as what they were parsed from.
+/// One token event of an engine's stream. The views live as long as the data that they were parsed
+/// from.
 struct TokenEvent
 {
     std::string_view m_attempt;
     std::int64_t m_index = 0;
     std::string_view m_text;
-    /// Empty until the last event.
+    /// Empty in all but the last event.
     std::string_view m_finishReason;
 };
 
-/// What became of an event.
+/// Result of adding an event to an answer.
 enum class EventVerdict { Taken, OtherAttempt, Duplicate, Gap, AfterFinish };
 
 inline constexpr NameTable<EventVerdict, 5> eventVerdictNames{{
@@ -32,7 +33,7 @@
         {EventVerdict::AfterFinish, "after-finish"},
 }};
 
-/// How many events were not taken, by the reason.
+/// Numbers of events by verdict.
 struct AssemblerCounters
 {
     std::uint64_t m_taken = 0;
@@ -42,35 +43,38 @@
     std::uint64_t m_afterFinish = 0;
 };
 
-/// Puts one request's answer together from the events of its attempts, one attempt after another.
-/// An event of another attempt, one seen before and one behind the finish are dropped and counted;
-/// one that leaves a gap fails the attempt. The text so far outlives an attempt, so that the next
-/// one resumes behind it.
+/// Assembles the answer to one request from the events of its attempts, which run one after
+/// another.
+///
+/// Events of another attempt, duplicates and events after the finish reason are dropped and
+/// counted. A missing token fails the attempt. The text received so far is kept across attempts, so
+/// that the next attempt resumes after it.
 class AnswerAssembler
 {
 public:
     AnswerAssembler() = default;
 
-    /// Begins with what an earlier owner had of the answer.
+    /// Starts with the part of the answer that an earlier owner had received.
     explicit AnswerAssembler(AnswerText soFar);
 
-    /// Makes `attempt` the only attempt whose events count. Clears the failure and the finish of
-    /// the attempt before it, not the text. Constant.
+    /// Accepts events of `attempt` only from now on. Resets the failure and the finish of the
+    /// previous attempt and keeps the text. Complexity: constant.
     void beginAttempt(std::string attempt);
 
-    /// Takes one event. After a gap, all further events of the attempt are dropped as gaps too.
-    /// Amortised linear in the event's text. An event with a finish reason and no text adds no
-    /// token.
+    /// Adds one event. After a gap, all further events of the attempt are dropped as gaps too. An
+    /// event with a finish reason and no text adds no token. Complexity: amortised linear in the
+    /// event's text.
     EventVerdict addEvent(const TokenEvent &event);
 
-    /// Takes the end marker of a stream that belongs to `attempt`. Constant.
+    /// Records the end marker of the stream of `attempt`. Complexity: constant.
     EventVerdict receiveEndMarker(std::string_view attempt);
 
-    /// Tells whether finish reason and end marker were both seen, without a gap. Constant.
+    /// Returns whether the finish reason and the end marker arrived without a gap. Complexity:
+    /// constant.
     bool hasCompleteAnswer() const { return m_ended && !m_finishReason.empty() && !m_failed; }
 
-    /// Tells how the attempt ended, once its connection is at its end: nothing wrong, or
-    /// AnswerTruncated with the reason. Constant.
+    /// Returns how the attempt ended, to be called when its connection has ended: success, or
+    /// AnswerTruncated with the reason. Complexity: constant.
     Result<Done> attemptResult() const;
 
     const AnswerText &answer() const { return m_answer; }
--- a/include/gypsumdale/jobs/epoch_history.hpp
+++ b/include/gypsumdale/jobs/epoch_history.hpp
@@ -9,8 +9,8 @@
 
 namespace gypsumdale {
 
-/// Where a caller is in an answer: the epoch of the last token it has, and how many tokens it has.
-/// Written "EPOCH:OFFSET".
+/// The position of a caller in an answer: the epoch of its last token and its number of tokens. Its
+/// text form is "EPOCH:OFFSET".
 struct AnswerPosition
 {
     std::int64_t m_epoch = 0;
@@ -19,13 +19,13 @@
     friend bool operator==(const AnswerPosition &, const AnswerPosition &) = default;
 };
 
-/// Writes a position as "EPOCH:OFFSET". Constant.
+/// Formats a position as "EPOCH:OFFSET". Complexity: constant.
 std::string toText(const AnswerPosition &position);
 
-/// Reads a position; nothing for a text that is none. Linear.
+/// Parses a position; returns nothing for any other text. Complexity: linear.
 std::optional<AnswerPosition> parsePosition(std::string_view text);
 
-/// The caller's tokens are all of this answer; the next one has this offset.
+/// All tokens of the caller are part of this answer; its next token has this offset.
 struct ContinueAt
 {
     std::int64_t m_offset = 0;
@@ -33,8 +33,8 @@
     friend bool operator==(const ContinueAt &, const ContinueAt &) = default;
 };
 
-/// The caller's tokens behind the offset come from a generation that was lost. It drops them and
-/// goes on from there in the epoch named.
+/// The caller's tokens after the offset come from a generation that was lost. The caller discards
+/// them and continues from the offset in the given epoch.
 struct DiscardAfter
 {
     std::int64_t m_epoch = 0;
@@ -43,7 +43,7 @@
     friend bool operator==(const DiscardAfter &, const DiscardAfter &) = default;
 };
 
-/// Nothing is known of the caller's epoch: it drops all it has and starts at 0.
+/// The caller's epoch is unknown: the caller discards all its tokens and starts at offset 0.
 struct UnknownEpoch
 {
     friend bool operator==(const UnknownEpoch &, const UnknownEpoch &) = default;
@@ -51,12 +51,13 @@
 
 using EpochCheck = std::variant<ContinueAt, DiscardAfter, UnknownEpoch>;
 
-/// The epochs of one answer in order, each with the offset of its first token, after the leader
-/// epoch cache of KIP-320. A caller that has tokens behind the start of the epoch that follows its
-/// own has tokens of a lost generation.
+/// The epochs of one answer in order, each with the offset of its first token, modelled on the
+/// leader epoch cache of KIP-320. A caller that has tokens after the start of the epoch that
+/// follows its own has tokens of a lost generation.
 class EpochHistory
 {
 public:
+    /// The start of an epoch.
     struct Start
     {
         std::int64_t m_epoch = 0;
@@ -65,20 +66,22 @@
         friend bool operator==(const Start &, const Start &) = default;
     };
 
-    /// Begins an epoch at an offset. Epochs that began behind that offset keep their entry, so that
-    /// their callers are known and cut back to it. Constant, amortised.
+    /// Adds an epoch that starts at an offset. Earlier epochs that started after this offset stay
+    /// in the list, so that their callers are recognised and discard their tokens back to it.
+    /// Complexity: amortised constant.
     void begin(std::int64_t epoch, std::int64_t offset);
 
-    /// Tells how a caller at (epoch, offset) goes on. `end` is the number of tokens of the answer
-    /// so far. Epochs need not be consecutive, but one that is not in the list is unknown: when two
-    /// nodes go on from the same point without the platform, each has an epoch of its own, and none
-    /// may pass for the other. Linear in the epochs.
+    /// Returns how a caller at (epoch, offset) continues; `end` is the number of tokens of the
+    /// answer so far. Epochs need not be consecutive, but an epoch that is not in the list is
+    /// unknown: when two nodes continue from the same point without the platform, each has its own
+    /// epoch, and the two must not be mistaken for each other. Complexity: linear in the number of
+    /// epochs.
     EpochCheck check(std::int64_t epoch, std::int64_t offset, std::int64_t end) const;
 
-    /// Returns the epoch that runs now, 0 if none has begun. Constant.
+    /// Returns the current epoch, or 0 if there is none. Complexity: constant.
     std::int64_t current() const;
 
-    /// Returns the epoch that the token at an offset came from. Linear in the epochs.
+    /// Returns the epoch of the token at an offset. Complexity: linear in the number of epochs.
     std::int64_t epochAt(std::int64_t offset) const;
 
     const std::vector<Start> &starts() const { return m_starts; }
--- a/include/gypsumdale/jobs/job.hpp
+++ b/include/gypsumdale/jobs/job.hpp
@@ -14,15 +14,15 @@
 
 namespace gypsumdale {
 
-/// Where a job stands at its owner.
+/// The state of a job at its owner.
 enum class JobState {
-    Offered, ///< Not held anywhere yet; an attempt may run already.
+    Offered, ///< Not yet held anywhere; an attempt may be running already.
     Held, ///< Accepted, waiting for its next attempt.
     Running,
-    TakingOver, ///< Of a dead owner; this node's takeover is not in the log yet.
-    HandingOver, ///< Stopped; its successor has not answered yet.
-    Withdrawn, ///< Refused; its offer is being taken back.
-    Provisional, ///< Whole here and at a peer; the log may still prefer another answer.
+    TakingOver, ///< The owner is dead; this node's takeover is not yet in the log.
+    HandingOver, ///< Stopped; the successor has not answered yet.
+    Withdrawn, ///< Refused; its offer is being removed.
+    Provisional, ///< Complete here and at a peer; the log may still choose another answer.
     Finished,
     Failed,
     Expired,
@@ -41,16 +41,16 @@
         {JobState::Expired, "expired"},
 }};
 
-/// Tells whether a job in this state has ended for good, well or not.
+/// Returns whether a job in this state has ended permanently, successfully or not.
 constexpr bool isOver(JobState state)
 {
     return state == JobState::Finished || state == JobState::Failed || state == JobState::Expired;
 }
 
-/// The state of a job of which nothing but its phase is known.
+/// Returns the state of a job of which only the phase is known.
 JobState stateOfPhase(wire::JobPhase::type phase);
 
-/// What a caller asked for. Bodies are opaque here.
+/// The request of a caller. The body is opaque here.
 struct JobRequest
 {
     MemberId m_member;
@@ -61,7 +61,8 @@
     WallMillis m_deadline = 0;
 };
 
-/// A job as every holder keeps it: the request, who runs it, and the answer so far.
+/// A job as its owner, its holders and the log keep it: the request, the owner and the answer so
+/// far.
 struct Job
 {
     JobId m_id;
@@ -74,7 +75,7 @@
 
     bool isOver() const { return m_phase != wire::JobPhase::Running; }
 
-    /// Returns roughly the bytes that the job takes in memory. Constant.
+    /// Returns the approximate memory size of the job in bytes. Complexity: constant.
     std::size_t memory() const;
 
     friend bool operator==(const Job &, const Job &) = default;
@@ -82,22 +83,23 @@
 
 bool operator==(const JobRequest &left, const JobRequest &right);
 
-/// Writes a job for another node. Linear.
+/// Converts a job for another node. Complexity: linear.
 wire::JobSnapshot toWire(const Job &job);
 
-/// Reads a job that another node wrote. Fails with PeerMalformed on one that contradicts itself.
-/// Linear.
+/// Converts a job that another node sent. Fails with PeerMalformed if it contradicts itself.
+/// Complexity: linear.
 Result<Job> fromWire(const wire::JobSnapshot &snapshot);
 
 wire::JobOwner toWire(const ProcessRef &process);
 ProcessRef fromWire(const wire::JobOwner &owner);
 
-/// Returns the job that a record is about; empty for a record of no known kind. Linear in the name.
+/// Returns the job of a record, or an empty id for an unknown kind of record. Complexity: linear in
+/// the length of the id.
 JobId jobOf(const wire::JobRecord &record);
 
-/// Returns an epoch behind `previous`. The upper bits count, the lower ones come from `random`, so
-/// that two nodes that go on from the same point without the platform do not share an epoch. Stays
-/// below 2^53, which JSON numbers keep exactly. Constant.
+/// Returns an epoch greater than `previous`. The upper bits are a counter and the lower ones come
+/// from `random`, so that two nodes that continue from the same point without the platform do not
+/// share an epoch. Stays below 2^53, which JSON numbers represent exactly. Complexity: constant.
 std::int64_t nextEpoch(std::int64_t previous, std::uint32_t random);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/jobs/job_commands.hpp
+++ b/include/gypsumdale/jobs/job_commands.hpp
@@ -10,64 +10,65 @@
 
 namespace gypsumdale {
 
-/// Append this record to the log. Nothing needs to come back but the record itself, when it is
-/// applied; a lost one is made good after onAppendLost() or the next outage.
+/// Append this record to the log. The only acknowledgement is the record itself when it is applied.
+/// A lost record is appended again after onAppendLost() or after the next outage.
 struct AppendRecord
 {
     JobLogId m_log;
     wire::JobRecord m_record;
 };
 
-/// Read this log from its start and go on reading it: every record goes to onRecordApplied(), and
-/// onLogCaughtUp() follows once its end was reached.
+/// Read this log from its start and keep following it: every record goes to onRecordApplied(), and
+/// onLogCaughtUp() is called when the end was reached.
 struct FollowLog
 {
     JobLogId m_log;
 };
 
-/// Stop reading this log.
+/// Stop following this log.
 struct UnfollowLog
 {
     JobLogId m_log;
 };
 
-/// Send this to the peer; its answer goes to onHoldAnswered(), a failure to onPeerFailed().
+/// Send this hold request to the peer. Its answer goes to onHoldAnswered(), a failure to
+/// onPeerFailed().
 struct HoldAtPeer
 {
     NodeId m_peer;
     wire::JobHold m_hold;
 };
 
-/// Tell the peer to drop its copy. Best effort.
+/// Ask the peer to remove its copy of a job. Best effort.
 struct ReleaseAtPeer
 {
     NodeId m_peer;
     wire::JobRelease m_release;
 };
 
-/// Answer a peer's hold request.
+/// Answer the hold request of a peer.
 struct AnswerHold
 {
     NodeId m_peer;
     wire::JobHoldAnswer m_answer;
 };
 
-/// Send this to the peer; its answer goes to onHandOverAnswered().
+/// Hand a job over to the peer. Its answer goes to onHandOverAnswered().
 struct HandOver
 {
     NodeId m_peer;
     wire::JobHandOver m_handOver;
 };
 
-/// Answer a peer's hand-over.
+/// Answer the hand-over of a peer.
 struct AnswerHandOver
 {
     NodeId m_peer;
     wire::JobHandOverAnswer m_answer;
 };
 
-/// Send the request to an upstream, with the answer so far to resume from. The job's earlier
-/// attempts are over. The attempt's number goes into every event about it; its name on the wire is
+/// Send the request to an upstream, with the answer so far to resume from. Earlier attempts of the
+/// job have ended. Every event of the attempt carries its number; its name on the wire is
 /// attemptName().
 struct StartAttempt
 {
@@ -78,43 +79,44 @@
     AnswerText m_soFar;
 };
 
-/// Close the attempt's connection; nothing that still comes from it counts.
+/// Close the connection of the attempt. Whatever still arrives from it is ignored.
 struct CancelAttempt
 {
     JobId m_job;
     std::uint64_t m_attempt = 0;
 };
 
-/// Tell the caller that its job is held and will finish.
+/// Inform the caller that its job is held and will finish.
 struct ReportAccepted
 {
     JobId m_job;
 };
 
-/// Tell the caller that its job is not held; it will not go on.
+/// Inform the caller that its job is not held and will not continue.
 struct ReportRefused
 {
     JobId m_job;
     Error m_error;
 };
 
-/// Tell the callers of this job, whose next events come from another node, to reattach at their
-/// position. The node may be empty: then any entry VM will do.
+/// Ask the callers of this job to reattach at their position, as another node continues it. If the
+/// node is empty, any entry VM will do.
 struct RequestReattach
 {
     JobId m_job;
     NodeId m_node;
 };
 
-/// Tell the callers of this job that it is over, or that its answer is provisional and the platform
-/// out of reach. Answers are read with reattach().
+/// Inform the callers of this job that it ended, or that its answer is provisional while the
+/// platform is unreachable. They read the answer with reattach().
 struct ReportEnded
 {
     JobId m_job;
     JobState m_state = JobState::Finished;
 };
 
-/// A provisional answer was shown, and the log went on with another owner's.
+/// A provisional answer was reported to callers, and the log continued with the answer of another
+/// owner.
 struct ReportOverruled
 {
     JobId m_job;
@@ -128,8 +130,8 @@
 
 using JobCommands = std::vector<JobCommand>;
 
-/// Returns the attempt's name on the wire (X-Attempt-Id). Unique over all attempts of all nodes, as
-/// epoch and owner differ. Linear in the job's name.
+/// Returns the name of an attempt on the wire (X-Attempt-Id). Unique over all attempts of all
+/// nodes, as epoch and owner differ. Complexity: linear in the length of the job id.
 std::string attemptName(const JobId &job, std::int64_t epoch, std::uint64_t attempt);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/jobs/job_id.hpp
+++ b/include/gypsumdale/jobs/job_id.hpp
@@ -10,8 +10,8 @@
 
 namespace gypsumdale {
 
-/// One log of job records in the platform. It is named after the process that began it, so that a
-/// restarted process never writes into the log of the one before it.
+/// The name of a log of job records in the platform. A log is named after the process that created
+/// it, so that a restarted process never writes into the log of its predecessor.
 using JobLogId = Id<struct JobLogIdTag>;
 
 /// One process of the system: a node and its incarnation.
@@ -28,18 +28,21 @@
     }
 };
 
-/// Returns the name of a process's own log, "NODE.INCARNATION". Linear in the name.
+/// Returns the name of the log of a process, "NODE.INCARNATION". Complexity: linear in the length
+/// of the name.
 JobLogId logOf(const ProcessRef &process);
 
-/// Returns the process that began a log, or nothing for a text that names none. Linear.
+/// Returns the process that created a log, or nothing for a text that is not a log name.
+/// Complexity: linear.
 std::optional<ProcessRef> processOf(const JobLogId &log);
 
-/// Makes the name of a job, "NODE.INCARNATION.NUMBER.SALT" with hexadecimal numbers. The log is
-/// readable from it; the salt comes from the caller's random source and makes names unguessable.
-/// It carries no secret: access is granted by member, never by knowing the name. Linear.
+/// Makes a job id, "NODE.INCARNATION.NUMBER.SALT" with hexadecimal numbers. The log can be derived
+/// from it. The salt comes from the caller's random source and makes ids unguessable, but the id is
+/// no secret: access is granted by member, never by knowledge of the id. Complexity: linear.
 JobId makeJobId(const ProcessRef &origin, std::uint64_t number, std::uint64_t salt);
 
-/// Returns the log that a job's records are in, or nothing for a text that names no job. Linear.
+/// Returns the log that holds the records of a job, or nothing for a text that is not a job id.
+/// Complexity: linear.
 std::optional<JobLogId> logOf(const JobId &job);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/jobs/job_log_state.hpp
+++ b/include/gypsumdale/jobs/job_log_state.hpp
@@ -9,7 +9,7 @@
 
 namespace gypsumdale {
 
-/// What became of a record.
+/// Result of applying a record.
 enum class RecordEffect { Applied, Repeated, Fenced, Malformed };
 
 inline constexpr NameTable<RecordEffect, 4> recordEffectNames{{
@@ -19,26 +19,29 @@
         {RecordEffect::Malformed, "malformed"},
 }};
 
-/// What one log says. Every reader that applies the same records in the same order has the same
-/// jobs. A record counts only if it names the epoch that its job is in, so that what a former owner
-/// appends behind a takeover changes nothing. Records may be appended twice: the second one finds
-/// its bytes there.
+/// The jobs described by one log. All readers that apply the same records in the same order have
+/// the same jobs.
+///
+/// A record takes effect only if it names the current epoch of its job, so that records which a
+/// former owner appends after a takeover change nothing. A record may be appended twice: the second
+/// one is recognised as a repetition.
 class JobLogState
 {
 public:
-    /// Applies the next record. Amortised linear in the record.
+    /// Applies the next record. Complexity: amortised linear in the size of the record.
     RecordEffect apply(const wire::JobRecord &record);
 
-    /// Returns a job, or nullptr. Constant.
+    /// Returns a job, or nullptr. Complexity: constant.
     const Job *find(const JobId &job) const;
 
-    /// Removes a job without a record, such as a copy that its owner released. Constant.
+    /// Removes a job without a record, such as a copy that its owner released. Complexity:
+    /// constant.
     void forget(const JobId &job);
 
     const std::unordered_map<JobId, Job> &jobs() const { return m_jobs; }
 
-    /// Tells whether a job was in the log and is no longer. The last ten thousand are remembered.
-    /// Constant.
+    /// Returns whether a job was in the log and was removed. The last 10,000 removals are
+    /// remembered. Complexity: constant.
     bool wasRemoved(const JobId &job) const { return m_removed.contains(job); }
 
 private:
--- a/include/gypsumdale/jobs/job_table.hpp
+++ b/include/gypsumdale/jobs/job_table.hpp
@@ -20,7 +20,7 @@
 
 namespace gypsumdale {
 
-/// A node that may hold jobs or take them over.
+/// A node that can hold copies of jobs or take jobs over.
 struct JobPeer
 {
     ProcessRef m_process;
@@ -28,49 +28,51 @@
     bool m_leaving = false;
 };
 
-/// What a notice is about.
+/// The scope of a reclaim notice.
 enum class ReclaimScope { OwnVm, OwnDataCentre };
 
-/// Bounds and times of a JobTable.
+/// Limits and times of a JobTable.
 struct JobTableSettings
 {
     ProcessRef m_self;
     DataCentreId m_dataCentre;
-    /// From the offer to the refusal, if the job is held nowhere until then.
+    /// From the offer until the job is refused because it is not held anywhere.
     Duration m_acceptTimeout = std::chrono::seconds(2);
-    /// From the offer until a peer is asked as well although the platform seems up.
+    /// From the offer until a peer is asked in addition to a platform that seems to be reachable.
     Duration m_peerFallbackDelay = std::chrono::milliseconds(500);
-    /// From a message to a peer until it is sent again, or to another one.
+    /// From a message to a peer until it is sent again or to another peer.
     Duration m_peerTimeout = std::chrono::milliseconds(500);
-    /// From a death until the successor takes over; a holder, whose copy may be newer, goes first.
+    /// From the death of an owner until the successor takes over. A holder, whose copy may be
+    /// newer, takes over without this delay.
     Duration m_successorDelay = std::chrono::milliseconds(500);
     /// From a failed attempt to the next one.
     Duration m_attemptBackoff = std::chrono::milliseconds(200);
     Duration m_retention = std::chrono::minutes(30);
     std::size_t m_maximumFinished = 10'000;
     std::size_t m_maximumFinishedBytes = std::size_t{32} * 1024 * 1024;
-    /// Unfinished jobs that a node takes as owner and as holder; further ones are refused.
+    /// Maximum number of unfinished jobs as owner, and of copies as holder; further ones are
+    /// refused.
     std::size_t m_maximumJobs = 4'000;
-    /// From the creation to the latest deadline. Records older than this and the retention together
-    /// are of no use: the log may be trimmed before them.
+    /// From the creation to the latest deadline. Records older than this plus the retention are not
+    /// needed, so that the log may be trimmed before them.
     Duration m_maximumJobAge = std::chrono::hours(6);
-    /// From an append until what the log still lacks is appended again.
+    /// From an append until records that are still missing in the log are appended again.
     Duration m_appendTimeout = std::chrono::seconds(10);
-    /// From when a process that a log names was first seen not to be among the peers, until it
-    /// counts as dead.
+    /// From when a process that a log names was first found missing among the peers until it counts
+    /// as dead.
     Duration m_orphanDelay = std::chrono::seconds(10);
-    /// From the last use of another process's log until it is no longer read.
+    /// From the last use of another process's log until it is no longer followed.
     Duration m_logIdleTimeout = std::chrono::seconds(60);
-    /// From the platform's return, and from the death of the process that took the job, until a job
-    /// that is not in its log counts as unknown: its holder may have to append it first.
+    /// From the return of the platform, and from the death of the process that accepted the job,
+    /// until a job that is not in its log counts as unknown: its holder may still have to append
+    /// it.
     Duration m_unknownJobDelay = std::chrono::seconds(10);
     CheckpointPolicy m_checkpoints = EveryInterval{std::chrono::seconds(5)};
     std::uint64_t m_seed = 0;
 };
 
-/// The answer from an offset on, out of this node's memory. While the job runs, its next tokens
-/// follow as they come. A token at offset n is labelled with the epoch that m_epochs.epochAt(n)
-/// names.
+/// The answer from an offset on, from this node's memory. While the job runs, further tokens follow
+/// as they arrive. The token at offset n belongs to the epoch m_epochs.epochAt(n).
 struct ServeFrom
 {
     AnswerPosition m_position;
@@ -80,20 +82,20 @@
     std::string m_finishReason;
 };
 
-/// The caller first drops what it has behind the position (all of it at offset 0), then asks again
-/// from there.
+/// The caller first discards its tokens after the position (all of them at offset 0), then asks
+/// again from there.
 struct DiscardTokens
 {
     AnswerPosition m_position;
 };
 
-/// Another node owns the job: ask there.
+/// Another node owns the job; the caller asks that node.
 struct RedirectToNode
 {
     NodeId m_node;
 };
 
-/// This node has begun to read the job's log: ask again after onLogCaughtUp().
+/// This node has started to read the job's log; the caller asks again after onLogCaughtUp().
 struct AwaitLog
 {
     JobLogId m_log;
@@ -101,7 +103,7 @@
 
 using ReattachAnswer = std::variant<ServeFrom, DiscardTokens, RedirectToNode, AwaitLog, Error>;
 
-/// One line of the operators' list of jobs.
+/// One entry of the list of jobs for operators.
 struct JobSummary
 {
     JobId m_job;
@@ -123,110 +125,116 @@
     std::uint64_t m_failed = 0;
     std::uint64_t m_expired = 0;
     std::uint64_t m_fenced = 0;
-    /// Provisional answers that callers were shown and the log did not take.
+    /// Provisional answers that were reported to callers and then overruled by the log.
     std::uint64_t m_overruled = 0;
     std::uint64_t m_takenOver = 0;
     std::uint64_t m_handedOver = 0;
     std::uint64_t m_resumed = 0;
-    /// Tokens that this node generated for jobs which another had taken over.
+    /// Tokens that this node generated for jobs that another node had taken over.
     std::uint64_t m_tokensLost = 0;
     std::uint64_t m_checkpointRecords = 0;
     std::uint64_t m_checkpointBytes = 0;
     std::uint64_t m_lateEvents = 0;
 };
 
-/// All durable jobs that one node owns, and those that it holds for peers. Plain and
-/// single-threaded: each call may leave commands, which takeCommands() hands out in order.
+/// The durable jobs that one node owns, and the copies that it holds for peers. Single-threaded and
+/// without I/O: calls queue commands, which takeCommands() returns in order.
 ///
-/// Who owns a job is decided by the job's log alone, one takeover record against another by the
-/// epoch that it replaces; while the platform is out, by the explicit word of the owner to its
-/// successor. A suspicion alone never makes a second owner.
+/// The job's log alone decides who owns a job: of several takeover records, the first one that
+/// names the current epoch takes effect. While the platform is unreachable, ownership passes only
+/// by an explicit hand-over from the owner to its successor. A mere suspicion that the owner is
+/// dead never creates a second owner.
 class JobTable
 {
 public:
     explicit JobTable(JobTableSettings settings);
 
-    /// Takes a new job and starts its first attempt at once; whether it is accepted is told later
-    /// by ReportAccepted or ReportRefused. Fails with Draining after a notice and with JobNotHeld
-    /// at once if the table is full or if neither the platform nor a peer in another data centre is
-    /// there.
+    /// Adds a new job and starts its first attempt at once. ReportAccepted or ReportRefused reports
+    /// later whether it is accepted. Fails with Draining after a reclaim notice, and with
+    /// JobNotHeld if the table is full or if neither the platform nor a peer in another data centre
+    /// is reachable.
     Result<JobId> offer(const JobRequest &request, TimePoint now);
 
-    /// The platform answers again, or has gone. Starts as gone.
+    /// Records that the platform became reachable or unreachable. Initially it is unreachable.
     void onPlatformChanged(bool up, TimePoint now);
 
-    /// The next record of a followed log; own records come back this way too.
+    /// Applies the next record of a followed log. Records of this node arrive here too.
     void onRecordApplied(const JobLogId &log, const wire::JobRecord &record, TimePoint now);
 
-    /// All records that the log had when reading began were applied.
+    /// Records that all records were applied that the log had when the read began.
     void onLogCaughtUp(const JobLogId &log, TimePoint now);
 
-    /// Records appended to this log may never be applied: what the log lacks is appended again.
+    /// Records that appended records may never be applied; what is missing in the log is appended
+    /// again.
     void onAppendLost(const JobLogId &log, TimePoint now);
 
-    /// The live peers, without this node, as membership sees them now. A process that is no longer
-    /// among them is not thereby dead.
+    /// Sets the live peers, without this node, as membership sees them now. A process that is
+    /// missing here is not necessarily dead.
     void onPeers(std::vector<JobPeer> peers, TimePoint now);
 
-    /// A process is dead: its VM is gone, or membership has given it up for good.
+    /// Records that a process is dead: its VM is gone, or membership removed it permanently.
     void onPeerDead(const ProcessRef &process, TimePoint now);
 
-    /// The names of all logs in the platform, read now and then: logs of dead processes are taken
-    /// care of by the node that rendezvous hashing prefers.
+    /// Handles the list of all logs in the platform, which is read from time to time. The logs of
+    /// dead processes are assigned to live nodes by rendezvous hashing.
     void onLogsListed(const std::vector<JobLogId> &logs, TimePoint now);
 
-    // As owner, towards holders and successors.
+    // Answers of holders and successors to this node as owner.
     void onHoldAnswered(const NodeId &peer, const wire::JobHoldAnswer &answer, TimePoint now);
     void onHandOverAnswered(const NodeId &peer, const wire::JobHandOverAnswer &answer,
                             TimePoint now);
-    /// A message to this peer could not be sent.
+    /// Records that a message to this peer could not be sent.
     void onPeerFailed(const NodeId &peer, TimePoint now);
 
-    // As holder and successor, from owners.
+    // Requests of owners to this node as holder or successor.
     void onHoldRequest(const NodeId &peer, const wire::JobHold &hold, TimePoint now);
     void onReleaseRequest(const NodeId &peer, const wire::JobRelease &release, TimePoint now);
     void onHandOverRequest(const NodeId &peer, const wire::JobHandOver &handOver, TimePoint now);
 
-    // From the attempt that runs. Events of an earlier attempt are counted and change nothing.
-    /// Takes tokens behind those had before; `firstToken` is the offset of the first one.
+    // Events of the running attempt. Events of earlier attempts are counted and ignored.
+    /// Appends the tokens that are new; `firstToken` is the offset of the first token passed.
     void onTokens(const JobId &job, std::uint64_t attempt, std::int64_t firstToken,
                   const AnswerText &tokens, TimePoint now);
-    /// The answer is whole: finish reason and end marker were there.
+    /// Records that the answer is complete: finish reason and end marker arrived.
     void onAttemptFinished(const JobId &job, std::uint64_t attempt, std::int64_t wholeTokens,
                            const std::string &finishReason, TimePoint now);
-    /// The attempt ended before the answer was whole. A permanent failure ends the job.
+    /// Records that the attempt ended before the answer was complete. A permanent failure ends the
+    /// job.
     void onAttemptFailed(const JobId &job, std::uint64_t attempt, bool isPermanent, TimePoint now);
-    /// The upstream that runs the attempt is leaving: the job goes on with a new attempt elsewhere.
+    /// Records that the upstream of the attempt is leaving. The job continues with a new attempt
+    /// elsewhere.
     void onUpstreamLeaving(const JobId &job, std::uint64_t attempt, TimePoint now);
 
-    /// This VM or its data centre is to be reclaimed: no new jobs, and every job is handed to a
-    /// peer, outside the data centre if that goes as a whole.
+    /// Records that this VM or its data centre will be reclaimed. New jobs are refused and every
+    /// job is handed over to a peer, outside the data centre if all of it is reclaimed.
     void onReclaimNotice(ReclaimScope scope, TimePoint now);
 
-    /// Moves all timers. To be called at least every 100 ms; `wallNow` judges deadlines.
+    /// Runs all timers; to be called at least every 100 ms. Deadlines are compared with `wallNow`.
     void tick(TimePoint now, WallMillis wallNow);
 
-    /// Tells how a caller at a position goes on. A job of another member gives JobUnknown, as one
-    /// that does not exist. Linear in the tokens handed out.
+    /// Returns how a caller at a position continues. A job of another member gives JobUnknown, like
+    /// a job that does not exist. Complexity: linear in the number of returned tokens.
     ReattachAnswer reattach(const JobId &job, const MemberId &member,
                             const AnswerPosition &position, TimePoint now);
 
-    /// Sets how long finished answers are kept; memory and count bound them as well.
+    /// Sets how long finished answers are kept; memory and count limit them as well.
     void setRetention(Duration retention) { m_settings.m_retention = retention; }
 
-    /// Returns the commands since the last call, in order.
+    /// Returns the commands queued since the last call, in order.
     JobCommands takeCommands();
 
-    /// Tells whether no job needs this process as its owner any more: all are over and in the
-    /// platform, or with another owner. Constant.
+    /// Returns whether no job needs this process as its owner any more: each has ended and is in
+    /// the platform, or has another owner. Complexity: constant.
     bool isDrained() const;
 
-    /// Lists the jobs that this node owns, and the finished ones of its own log. Linear.
+    /// Lists the jobs that this node owns, and the finished jobs of its own log. Complexity:
+    /// linear.
     std::vector<JobSummary> summaries() const;
-    /// Returns the jobs that this node owns, finished ones that it still keeps counted. Constant.
+    /// Returns the number of jobs that this node owns, including ended ones that are not in the log
+    /// yet. Complexity: constant.
     std::size_t ownedCount() const { return m_owned.size(); }
 
-    /// Tells how many jobs this node keeps copies of for peers. Constant.
+    /// Returns the number of jobs of which this node holds copies for peers. Complexity: constant.
     std::size_t heldCopyCount() const { return m_copyOwners.size(); }
 
     const JobTableCounters &counters() const { return m_counters; }
@@ -234,7 +242,8 @@
 private:
     enum class Mode { Normal, TakingOver, HandingOver, Withdrawn };
 
-    /// How far a place outside this process has a job, counting what is on its way there.
+    /// Progress of a job at another place, such as the log, including what is still on its way
+    /// there.
     struct Replica
     {
         std::int64_t m_epoch = 0;
@@ -242,7 +251,7 @@
         bool m_isOver = false;
         bool m_isRemoved = false;
         bool m_isTakenOver = false;
-        /// The epoch of this node's offer until the log is known to have taken it; otherwise 0.
+        /// The epoch of this node's offer until the log is known to contain it; otherwise 0.
         std::int64_t m_offeredEpoch = 0;
         TimePoint m_changedAt{};
     };
@@ -252,13 +261,13 @@
     {
         NodeId m_node;
         bool m_isHeld = false;
-        bool m_isAsked = false;
+        bool m_isRequestPending = false;
         std::int64_t m_tokens = 0;
         bool m_isOver = false;
-        TimePoint m_askedAt{};
+        TimePoint m_requestedAt{};
     };
 
-    /// The peer that a job is being handed to.
+    /// The peer that a job is being handed over to.
     struct Successor
     {
         NodeId m_node;
@@ -266,18 +275,18 @@
         TimePoint m_sentAt{};
     };
 
-    /// A job that this process owns, or is about to.
+    /// A job that this process owns or is taking over.
     struct OwnedJob
     {
         Job m_job;
         Mode m_mode = Mode::Normal;
         bool m_isAccepted = false;
-        bool m_isToldOver = false;
-        bool m_isToldProvisional = false;
+        bool m_isEndReported = false;
+        bool m_isProvisionalReported = false;
         TimePoint m_offeredAt;
         std::uint64_t m_attempt = 0;
         TimePoint m_nextAttemptAt;
-        /// Tokens that a checkpoint is to cover.
+        /// Number of tokens that the next checkpoint covers.
         std::int64_t m_checkpointTo = 0;
         std::optional<Replica> m_appended;
         std::int64_t m_takeoverEpoch = 0;
@@ -292,11 +301,11 @@
     {
         JobLogState m_state;
         bool m_isCaughtUp = false;
-        /// When the last reading that reached the end was asked for, and the one under way.
-        TimePoint m_readFrom{};
-        std::optional<TimePoint> m_readAskedAt;
-        TimePoint m_usedAt;
-        /// When the process that began the log was last seen alive, or following began.
+        /// Start of the last read that reached the end, and of the read in progress.
+        TimePoint m_readStartedAt{};
+        std::optional<TimePoint> m_readRequestedAt;
+        TimePoint m_lastUsedAt;
+        /// When the process that created the log was last seen alive, or following began.
         TimePoint m_originSeenAt;
         std::optional<TimePoint> m_takeOverAt;
     };
@@ -306,7 +315,7 @@
         JobId m_job;
         std::int64_t m_epoch = 0;
         std::size_t m_bytes = 0;
-        TimePoint m_at;
+        TimePoint m_finishedAt;
     };
 
     struct HandedJob
@@ -323,7 +332,7 @@
         m_commands.emplace_back(std::move(command));
     }
 
-    // Life of a job: job_table.cpp
+    // Lifecycle of a job: job_table.cpp
     JobState stateOf(const OwnedJob &owned) const;
     std::vector<JobId> ownedIds() const;
     OwnedJob *findOwned(const JobId &job);
@@ -334,24 +343,24 @@
                 TimePoint now);
     void accept(OwnedJob &owned);
     void refuse(OwnedJob &owned, Error error, TimePoint now);
-    void tellOver(OwnedJob &owned);
-    void tellByHolder(OwnedJob &owned);
-    void overrule(const OwnedJob &owned, const Job &logged);
-    void service(const JobId &job, TimePoint now);
+    void reportEnded(OwnedJob &owned);
+    void reportEndedByHolder(OwnedJob &owned);
+    void reportOverruled(const OwnedJob &owned, const Job &logged);
+    void advanceJob(const JobId &job, TimePoint now);
     void tickJob(const JobId &job, TimePoint now, WallMillis wallNow);
     void checkpoint(TimePoint now);
     void removeFinished(TimePoint now);
 
     // The log: job_table_log.cpp
     FollowedLog &follow(const JobLogId &log, TimePoint now);
-    /// Asks for a reading of the log up to its end, unless one is under way.
-    void readAnew(const JobLogId &log, FollowedLog &followed, TimePoint now);
+    /// Requests a read of the log up to its end, unless one is in progress.
+    void requestRead(const JobLogId &log, FollowedLog &followed, TimePoint now);
     FollowedLog *writableLog(const JobLogId &log, TimePoint now);
     bool reconcile(const JobId &job, FollowedLog &log, TimePoint now);
     bool reconcileEpoch(OwnedJob &owned, const Job &logged, TimePoint now);
     void adoptLogged(OwnedJob &owned, const Job &logged, TimePoint now);
     void fence(OwnedJob &owned, const Job &logged);
-    void settle(OwnedJob &owned, const Job &logged, TimePoint now);
+    void updateFromLog(OwnedJob &owned, const Job &logged, TimePoint now);
     void appendMissing(OwnedJob &owned, const FollowedLog &log, TimePoint now);
     void checkOffer(OwnedJob &owned, const Job &logged);
     void appendOffer(OwnedJob &owned);
@@ -366,7 +375,7 @@
     // Takeovers of dead owners: job_table_takeover.cpp
     bool isCaretaker(const JobLogId &log) const;
     bool isLive(const ProcessRef &process) const;
-    bool isGone(const ProcessRef &process, TimePoint now);
+    bool detectDeath(const ProcessRef &process, TimePoint now);
     void takeOverLog(const JobLogId &log, FollowedLog &followed, TimePoint now);
     void takeOver(const Job &job, TimePoint now);
     void takeOverCopies(TimePoint now);
@@ -376,21 +385,21 @@
     const JobPeer *findPeer(const NodeId &node) const;
     NodeId chooseHolder(const OwnedJob &owned) const;
     NodeId chooseSuccessor(const OwnedJob &owned) const;
-    bool wantsHolder(const OwnedJob &owned, TimePoint now) const;
+    bool needsHolder(const OwnedJob &owned, TimePoint now) const;
     void syncToHolder(OwnedJob &owned, TimePoint now);
     void sendToHolder(OwnedJob &owned, const wire::JobRecord &record, TimePoint now);
-    void failHolder(OwnedJob &owned);
-    ReleaseAtPeer releaseOf(const NodeId &holder, const JobId &job) const;
+    void dropHolder(OwnedJob &owned);
+    ReleaseAtPeer makeRelease(const NodeId &holder, const JobId &job) const;
     void releaseCopies(OwnedJob &owned, const NodeId &except);
     void beginHandOver(OwnedJob &owned, TimePoint now);
-    void driveHandOver(OwnedJob &owned, TimePoint now);
-    void adopt(Job job, TimePoint now);
+    void advanceHandOver(OwnedJob &owned, TimePoint now);
+    void adoptHandedOver(Job job, TimePoint now);
     void transferCopies();
-    void forgetCopy(const JobId &job);
+    void removeCopy(const JobId &job);
     bool replacesCopy(const wire::JobSnapshot &snapshot) const;
-    bool hasMovedOn(const wire::JobSnapshot &snapshot) const;
+    bool isSuperseded(const wire::JobSnapshot &snapshot) const;
 
-    // Reading: job_table_read.cpp
+    // Reads: job_table_read.cpp
     ReattachAnswer serve(const Job &job, JobState state, const AnswerPosition &position) const;
     ReattachAnswer reattachLogged(const JobId &job, const MemberId &member,
                                   const AnswerPosition &position, TimePoint now);
--- a/include/gypsumdale/jobs/sse_parser.hpp
+++ b/include/gypsumdale/jobs/sse_parser.hpp
@@ -11,35 +11,37 @@
 
 namespace gypsumdale {
 
-/// The `[DONE]` that ends a stream.
+/// The `[DONE]` marker that ends a stream.
 struct EndMarker
 {};
 
-/// What one server-sent event of an engine means.
+/// The meaning of one server-sent event of an engine.
 using EngineEvent = std::variant<TokenEvent, EndMarker>;
 
-/// Cuts a body that comes in pieces into the data of server-sent events. Pieces may end anywhere,
-/// also inside a line ending or a UTF-8 sequence. Holds at most one event.
+/// Splits a body that arrives in pieces into the data of server-sent events. A piece may end
+/// anywhere, also inside a line ending or a UTF-8 sequence. Buffers at most one event.
 class SseParser
 {
 public:
     static constexpr std::size_t defaultLimit = std::size_t{256} * 1024;
 
-    /// `limit` bounds the bytes of one line and of one event's data.
+    /// `limit` is the maximum size in bytes of one line and of the data of one event.
     explicit SseParser(std::size_t limit = defaultLimit);
 
-    /// Takes one piece and hands each whole event's data to `onData`, whose view lives for the call
-    /// only. Stops and fails with RequestTooLarge on a line or event beyond the limit, or with what
-    /// `onData` returns as its error; a parser that has failed stays so. Linear in the piece.
+    /// Parses one piece and passes the data of each complete event to `onData`; the view is valid
+    /// during the call only. Stops and fails with RequestTooLarge on a line or an event above the
+    /// limit, or with the error that `onData` returns. After a failure, all further calls fail.
+    /// Complexity: linear in the size of the piece.
     Result<Done> feed(std::string_view piece,
                       const std::function<Result<Done>(std::string_view)> &onData);
 
-    /// Tells whether the body may end here: no event is left half read. Constant.
+    /// Returns whether the body may end here, that is, no event is partly read. Complexity:
+    /// constant.
     bool isBetweenEvents() const;
 
 private:
-    Result<Done> takeLine(std::string_view line,
-                          const std::function<Result<Done>(std::string_view)> &onData);
+    Result<Done> processLine(std::string_view line,
+                             const std::function<Result<Done>(std::string_view)> &onData);
     Result<Done> fail(Error error);
 
     std::size_t m_limit;
@@ -52,14 +54,15 @@
     Error m_error;
 };
 
-/// Reads the data of an engine's events. The known shape is scanned without building a document;
-/// anything else goes through a full JSON parser, so that both say the same of every input.
+/// Parses the data of an engine's events. The expected shape is scanned without building a
+/// document. Anything else is parsed by a full JSON parser; both give the same result for every
+/// input.
 class EngineEventReader
 {
 public:
-    /// Reads one event's data. The views live until the next call and as long as `data`. Fails with
-    /// UpstreamFailed on data that is no event of a chat completion or is an engine's error.
-    /// Linear.
+    /// Parses the data of one event. The views are valid until the next call and as long as `data`.
+    /// Fails with UpstreamFailed if the data is not a chat completion event or is an error reported
+    /// by the engine. Complexity: linear.
     Result<EngineEvent> read(std::string_view data);
 
 private:
--- a/src/jobs/answer_assembler.cpp
+++ b/src/jobs/answer_assembler.cpp
@@ -18,8 +18,8 @@
 
 EventVerdict AnswerAssembler::addEvent(const TokenEvent &event)
 {
-    // An answer that comes late or crossed, on a connection that was used before, carries another
-    // attempt's name: taken in, a caller would read a stranger's words.
+    // A late or misrouted answer on a reused connection carries the id of another attempt. Adding
+    // its text would show one caller the answer of another.
     if (event.m_attempt != m_attempt) {
         ++m_counters.m_otherAttempt;
         return EventVerdict::OtherAttempt;
@@ -58,7 +58,7 @@
 Result<Done> AnswerAssembler::attemptResult() const
 {
     if (m_failed)
-        return Error{ErrorId::AnswerTruncated, "tokens are missing in between"};
+        return Error{ErrorId::AnswerTruncated, "tokens are missing in the answer"};
     if (m_finishReason.empty())
         return Error{ErrorId::AnswerTruncated, "the answer ended without a finish reason"};
     if (!m_ended)
--- a/src/jobs/answer_text.cpp
+++ b/src/jobs/answer_text.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint32_t lebPayload = 0x7f;
-constexpr std::uint32_t lebMore = 0x80;
+constexpr std::uint32_t lebContinuation = 0x80;
 constexpr int lebBits = 7;
 constexpr int lebMaximumShift = 28;
 
@@ -20,11 +20,11 @@
     m_ends.push_back(static_cast<std::uint32_t>(m_text.size()));
 }
 
-void AnswerText::append(const AnswerText &piece)
+void AnswerText::append(const AnswerText &other)
 {
     const auto base = static_cast<std::uint32_t>(m_text.size());
-    m_text.append(piece.m_text);
-    for (const std::uint32_t end : piece.m_ends)
+    m_text.append(other.m_text);
+    for (const std::uint32_t end : other.m_ends)
         m_ends.push_back(base + end);
 }
 
@@ -74,7 +74,7 @@
         std::uint32_t length = m_ends[index] - previous;
         previous = m_ends[index];
         while (length > lebPayload) {
-            lengths.push_back(static_cast<char>((length & lebPayload) | lebMore));
+            lengths.push_back(static_cast<char>((length & lebPayload) | lebContinuation));
             length >>= lebBits;
         }
         lengths.push_back(static_cast<char>(length));
@@ -98,7 +98,7 @@
             return malformed;
         length |= static_cast<std::uint64_t>(bits & lebPayload) << shift;
         shift += lebBits;
-        if ((bits & lebMore) != 0)
+        if ((bits & lebContinuation) != 0)
             continue;
         end += length;
         if (end > text.size())
--- a/src/jobs/checkpoint_policy.cpp
+++ b/src/jobs/checkpoint_policy.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double secondsPerHour = 3600;
-/// A day: longer than any job, so that a rate of zero asks for no checkpoint.
+/// Longer than any job lives, so that a loss rate of zero never makes a checkpoint due.
 constexpr double longestSeconds = 86'400;
 
 Duration boundedDuration(double seconds)
--- a/src/jobs/detail/rendezvous.hpp
+++ b/src/jobs/detail/rendezvous.hpp
@@ -7,7 +7,8 @@
 
 namespace gypsumdale::detail {
 
-/// Returns how much rendezvous hashing prefers a node for a key. Linear in the two texts.
+/// Returns the weight of a node for a key in rendezvous hashing. Complexity: linear in the length
+/// of the two texts.
 std::uint64_t rendezvousWeight(std::string_view key, const NodeId &node);
 
 } // namespace gypsumdale::detail
--- a/src/jobs/engine_event_reader.cpp
+++ b/src/jobs/engine_event_reader.cpp
@@ -15,12 +15,12 @@
 constexpr unsigned char firstBeyondAscii = 0x80;
 constexpr std::size_t maximumDigits = 18;
 
-/// Walks over JSON as engines write it, without blanks. Every step that finds anything else says
-/// so, and the full parser has the word.
-class KnownShape
+/// Scans JSON as engines write it, without whitespace. Every step reports whether it matched;
+/// anything else is left to the full parser.
+class JsonScanner
 {
 public:
-    explicit KnownShape(std::string_view data)
+    explicit JsonScanner(std::string_view data)
         : m_rest(data)
     {}
 
@@ -32,24 +32,24 @@
         return true;
     }
 
-    /// Reads an object whose members' values `takeValue` reads, told their key.
-    template <typename TakeValue>
-    bool object(std::string &scratch, TakeValue takeValue)
+    /// Reads an object; `readValue` receives each key and reads its value.
+    template <typename ReadValue>
+    bool readObject(std::string &scratch, ReadValue readValue)
     {
         if (!skip("{"))
             return false;
         if (skip("}"))
             return true;
         do {
-            const auto key = string(scratch);
-            if (!key || !skip(":") || !takeValue(*key))
+            const auto key = readString(scratch);
+            if (!key || !skip(":") || !readValue(*key))
                 return false;
         } while (skip(","));
         return skip("}");
     }
 
-    /// Reads a string. Only printable ASCII passes; escapes are undone into `scratch`.
-    std::optional<std::string_view> string(std::string &scratch)
+    /// Reads a string. Accepts printable ASCII only; escapes are decoded into `scratch`.
+    std::optional<std::string_view> readString(std::string &scratch)
     {
         if (!skip("\""))
             return std::nullopt;
@@ -63,10 +63,10 @@
             m_rest.remove_prefix(length + 1);
             return text;
         }
-        return escapedString(scratch);
+        return readEscapedString(scratch);
     }
 
-    std::optional<std::int64_t> number()
+    std::optional<std::int64_t> readNumber()
     {
         std::size_t length = 0;
         std::int64_t value = 0;
@@ -111,7 +111,7 @@
         }
     }
 
-    std::optional<std::string_view> escapedString(std::string &scratch)
+    std::optional<std::string_view> readEscapedString(std::string &scratch)
     {
         scratch.clear();
         for (std::size_t at = 0; at < m_rest.size(); ++at) {
@@ -143,80 +143,82 @@
     std::string &m_finishReason;
 };
 
-/// Takes in the members of an event that are known, in any order. An unknown one, or one that comes
-/// twice, is left to the full parser.
-class KnownEvent
+/// Reads the known members of an event in any order. An event with an unknown or repeated member is
+/// left to the full parser.
+class EventScanner
 {
 public:
-    KnownEvent(std::string_view data, const Scratch &scratch)
-        : m_shape(data)
+    EventScanner(std::string_view data, const Scratch &scratch)
+        : m_scanner(data)
         , m_scratch(scratch)
     {}
 
     std::optional<TokenEvent> read()
     {
-        const bool isRead =
-                m_shape.object(m_skipped, [this](std::string_view key) { return takeMember(key); });
-        const bool isWhole = m_hasAttempt && m_hasIndex && m_hasDelta;
-        if (!isRead || !isWhole || !m_shape.isAtEnd())
+        const bool isRead = m_scanner.readObject(
+                m_skipped, [this](std::string_view key) { return readMember(key); });
+        const bool hasRequired = m_hasAttempt && m_hasIndex && m_hasDelta;
+        if (!isRead || !hasRequired || !m_scanner.isAtEnd())
             return std::nullopt;
         return m_event;
     }
 
 private:
-    bool takeMember(std::string_view key)
+    bool readMember(std::string_view key)
     {
         if (key == "id")
-            return isFirst(m_hasAttempt) && takeString(m_scratch.m_attempt, m_event.m_attempt);
+            return isFirst(m_hasAttempt) && readString(m_scratch.m_attempt, m_event.m_attempt);
         if (key == "object" || key == "model")
-            return m_shape.string(m_skipped).has_value();
+            return m_scanner.readString(m_skipped).has_value();
         if (key == "token_index")
-            return isFirst(m_hasIndex) && takeIndex();
-        return key == "choices" && isFirst(m_hasChoices) && takeChoices();
+            return isFirst(m_hasIndex) && readIndex();
+        return key == "choices" && isFirst(m_hasChoices) && readChoices();
     }
 
-    bool takeChoices()
+    bool readChoices()
     {
-        const auto takeChoice = [this](std::string_view key) {
+        const auto readChoice = [this](std::string_view key) {
             if (key == "index")
-                return m_shape.number().has_value();
+                return m_scanner.readNumber().has_value();
             if (key == "delta")
-                return isFirst(m_hasDelta) && takeDelta();
-            return key == "finish_reason" && isFirst(m_hasFinishReason) && takeFinishReason();
+                return isFirst(m_hasDelta) && readDelta();
+            return key == "finish_reason" && isFirst(m_hasFinishReason) && readFinishReason();
         };
-        return m_shape.skip("[") && m_shape.object(m_skipped, takeChoice) && m_shape.skip("]");
+        return m_scanner.skip("[") && m_scanner.readObject(m_skipped, readChoice)
+               && m_scanner.skip("]");
     }
 
-    bool takeDelta()
+    bool readDelta()
     {
-        return m_shape.object(m_skipped, [this](std::string_view key) {
+        return m_scanner.readObject(m_skipped, [this](std::string_view key) {
             return key == "content" && isFirst(m_hasText)
-                   && takeString(m_scratch.m_text, m_event.m_text);
+                   && readString(m_scratch.m_text, m_event.m_text);
         });
     }
 
-    bool takeFinishReason()
+    bool readFinishReason()
     {
-        return m_shape.skip("null") || takeString(m_scratch.m_finishReason, m_event.m_finishReason);
+        return m_scanner.skip("null")
+               || readString(m_scratch.m_finishReason, m_event.m_finishReason);
     }
 
-    bool takeIndex()
+    bool readIndex()
     {
-        const auto index = m_shape.number();
+        const auto index = m_scanner.readNumber();
         m_event.m_index = index.value_or(0);
         return index.has_value();
     }
 
-    bool takeString(std::string &scratch, std::string_view &target)
+    bool readString(std::string &scratch, std::string_view &target)
     {
-        const auto text = m_shape.string(scratch);
+        const auto text = m_scanner.readString(scratch);
         target = text.value_or(std::string_view());
         return text.has_value();
     }
 
     static bool isFirst(bool &isSeen) { return !std::exchange(isSeen, true); }
 
-    KnownShape m_shape;
+    JsonScanner m_scanner;
     const Scratch &m_scratch;
     std::string m_skipped;
     TokenEvent m_event;
@@ -228,7 +230,7 @@
     bool m_hasFinishReason = false;
 };
 
-/// Returns the member of that name, or nullptr for a value without one.
+/// Returns the member with this name, or nullptr if the value has none.
 const nlohmann::json *memberOf(const nlohmann::json &value, const char *name)
 {
     if (!value.is_object())
@@ -237,7 +239,7 @@
     return found == value.end() ? nullptr : &*found;
 }
 
-/// Copies a string member; an absent one and null count as empty. Tells whether it was neither.
+/// Copies a string member; an absent one and null count as empty. Returns false for any other type.
 bool copyText(const nlohmann::json *value, std::string &text)
 {
     text.clear();
@@ -278,7 +280,7 @@
     if (data == endMarker)
         return EngineEvent(EndMarker{});
     const Scratch scratch{m_attempt, m_text, m_finishReason};
-    if (const auto event = KnownEvent(data, scratch).read())
+    if (const auto event = EventScanner(data, scratch).read())
         return EngineEvent(*event);
     const auto document = nlohmann::json::parse(data, nullptr, false);
     if (memberOf(document, "error") != nullptr)
--- a/src/jobs/epoch_history.cpp
+++ b/src/jobs/epoch_history.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::optional<std::int64_t> numberFrom(std::string_view text)
+std::optional<std::int64_t> parseNumber(std::string_view text)
 {
     std::int64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -30,8 +30,8 @@
     const std::size_t colon = text.find(':');
     if (colon == std::string_view::npos)
         return std::nullopt;
-    const auto epoch = numberFrom(text.substr(0, colon));
-    const auto offset = numberFrom(text.substr(colon + 1));
+    const auto epoch = parseNumber(text.substr(0, colon));
+    const auto offset = parseNumber(text.substr(colon + 1));
     if (!epoch || !offset)
         return std::nullopt;
     return AnswerPosition{*epoch, *offset};
@@ -51,8 +51,8 @@
         ++index;
     if (index == m_starts.size())
         return UnknownEpoch{};
-    // The caller may be several epochs behind, and a later epoch may have begun before an earlier
-    // one did: whatever began first took away all behind it.
+    // The caller may be several epochs behind, and a later epoch may start at a smaller offset than
+    // an earlier one: the smallest start offset is where the caller's tokens stop being valid.
     std::int64_t valid = end;
     for (++index; index < m_starts.size(); ++index)
         valid = std::min(valid, m_starts[index].m_offset);
--- a/src/jobs/job_id.cpp
+++ b/src/jobs/job_id.cpp
@@ -12,7 +12,7 @@
 constexpr int hexadecimal = 16;
 
 template <typename Number>
-bool readsAsHex(std::string_view text, Number &number)
+bool parseHex(std::string_view text, Number &number)
 {
     const auto [end, error] =
             std::from_chars(text.data(), text.data() + text.size(), number, hexadecimal);
@@ -33,7 +33,7 @@
     if (dot == std::string_view::npos || dot == 0)
         return std::nullopt;
     ProcessRef process{NodeId(std::string(text.substr(0, dot))), 0};
-    if (!readsAsHex(text.substr(dot + 1), process.m_incarnation))
+    if (!parseHex(text.substr(dot + 1), process.m_incarnation))
         return std::nullopt;
     return process;
 }
@@ -53,8 +53,8 @@
     if (numberDot == std::string_view::npos)
         return std::nullopt;
     std::uint64_t number = 0;
-    if (!readsAsHex(text.substr(saltDot + 1), number)
-        || !readsAsHex(text.substr(numberDot + 1, saltDot - numberDot - 1), number)) {
+    if (!parseHex(text.substr(saltDot + 1), number)
+        || !parseHex(text.substr(numberDot + 1, saltDot - numberDot - 1), number)) {
         return std::nullopt;
     }
     JobLogId log(std::string(text.substr(0, numberDot)));
--- a/src/jobs/job_log_state.cpp
+++ b/src/jobs/job_log_state.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Enough for all removals whose records may still be on their way when the job is gone.
-constexpr std::size_t removedRemembered = 10'000;
+/// Covers all removals whose records may still be in transit after the job is gone.
+constexpr std::size_t maxRememberedRemovals = 10'000;
 
 } // namespace
 
@@ -32,7 +32,7 @@
     if (!succeeded(job))
         return RecordEffect::Malformed;
     const JobId id = valueOf(job).m_id;
-    // A copy of an offer that comes behind its removal must not bring the job back.
+    // A repeated offer that arrives after the removal must not restore the job.
     if (wasRemoved(id))
         return RecordEffect::Fenced;
     const bool isNew = m_jobs.try_emplace(id, valueOf(std::move(job))).second;
@@ -42,8 +42,9 @@
 RecordEffect JobLogState::applyProgress(const wire::JobProgress &record)
 {
     const auto found = m_jobs.find(JobId(record.job));
-    // A paused owner appends what it generated after its job was taken over: the epoch it names is
-    // no longer the job's, so its text can't get into the successor's answer.
+    // A paused owner appends what it generated after its job was taken over. The epoch that its
+    // records name is no longer the job's, so that its text does not get into the successor's
+    // answer.
     if (found == m_jobs.end() || found->second.m_epochs.current() != record.epoch
         || found->second.isOver()) {
         return RecordEffect::Fenced;
@@ -71,7 +72,7 @@
     const bool isPhase =
             record.phase > wire::JobPhase::Running && record.phase <= wire::JobPhase::Expired;
     const RecordEffect rest = applyProgress(record.rest);
-    // An answer that lacks tokens is never whole; its owner appends it again.
+    // An answer with missing tokens is never complete; its owner appends it again.
     if (!isPhase || rest == RecordEffect::Malformed
         || job.m_answer.tokens() != record.wholeTokens) {
         return RecordEffect::Malformed;
@@ -89,8 +90,9 @@
     Job &job = found->second;
     if (job.m_epochs.current() == record.epoch)
         return RecordEffect::Repeated;
-    // Two nodes may take the same job over at once: the first record in the log wins, the second
-    // finds another epoch. A taker whose copy lacks tokens that the log has must read them first.
+    // Two nodes may take over the same job at the same time: the first record in the log takes
+    // effect, and the second one names an outdated epoch. A node whose copy is behind the log must
+    // read the missing tokens first.
     if (job.m_epochs.current() != record.previousEpoch || job.m_answer.tokens() != record.offset)
         return RecordEffect::Fenced;
     job.m_epochs.begin(record.epoch, record.offset);
@@ -115,7 +117,7 @@
     if (!m_removed.insert(job).second)
         return;
     m_removedOrder.push_back(job);
-    if (m_removedOrder.size() <= removedRemembered)
+    if (m_removedOrder.size() <= maxRememberedRemovals)
         return;
     m_removed.erase(m_removedOrder.front());
     m_removedOrder.pop_front();
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -45,8 +45,8 @@
         return JobState::Offered;
     if (!owned.m_job.isOver() && owned.m_attempt == 0)
         return JobState::Held;
-    if (owned.m_job.isOver() && !owned.m_isToldOver)
-        return owned.m_isToldProvisional ? JobState::Provisional : JobState::Running;
+    if (owned.m_job.isOver() && !owned.m_isEndReported)
+        return owned.m_isProvisionalReported ? JobState::Provisional : JobState::Running;
     return stateOfPhase(owned.m_job.m_phase);
 }
 
@@ -68,8 +68,8 @@
 JobTable::OwnedJob *JobTable::findAttempt(const JobId &job, std::uint64_t attempt)
 {
     OwnedJob *owned = findOwned(job);
-    // An attempt that was cancelled goes on sending until its connection is closed: its events are
-    // known by their number and must not get into the answer of the one that took its place.
+    // A cancelled attempt keeps sending until its connection is closed. Its events are recognised
+    // by the attempt's number and must not get into the answer of the attempt that replaced it.
     if (owned == nullptr || owned->m_attempt != attempt || attempt == 0) {
         ++m_counters.m_lateEvents;
         return nullptr;
@@ -85,12 +85,13 @@
         return Error{ErrorId::Draining, "this node is about to be reclaimed"};
     }
     OwnedJob owned;
-    const bool hasPlace = m_platformUp || !chooseHolder(owned).isEmpty();
-    if (!hasPlace || m_owned.size() >= m_settings.m_maximumJobs) {
+    const bool canBeHeld = m_platformUp || !chooseHolder(owned).isEmpty();
+    if (!canBeHeld || m_owned.size() >= m_settings.m_maximumJobs) {
         ++m_counters.m_refused;
-        return Error{ErrorId::JobNotHeld, hasPlace ? "too many jobs run on this node"
-                                                   : "neither the platform nor another data centre "
-                                                     "can hold the job"};
+        return Error{ErrorId::JobNotHeld, canBeHeld
+                                                  ? "too many jobs run on this node"
+                                                  : "neither the platform nor another data centre "
+                                                    "can hold the job"};
     }
     const std::uint64_t salt = (static_cast<std::uint64_t>(m_random()) << wordBits) | m_random();
     const JobId id = makeJobId(m_settings.m_self, m_nextNumber++, salt);
@@ -103,7 +104,7 @@
     owned.m_offeredAt = now;
     OwnedJob &added = m_owned.emplace(id, std::move(owned)).first->second;
     startAttempt(added, now);
-    service(id, now);
+    advanceJob(id, now);
     return id;
 }
 
@@ -142,8 +143,9 @@
     releaseCopies(owned, {});
     owned.m_holder.reset();
     owned.m_mode = Mode::Withdrawn;
-    // The offer may take effect later, when nobody waits for it: a removal follows it in the log.
-    service(owned.m_job.m_id, now);
+    // The offer may still reach the log although no caller waits for it any more; a removal follows
+    // it there.
+    advanceJob(owned.m_job.m_id, now);
 }
 
 void JobTable::finish(OwnedJob &owned, wire::JobPhase::type phase, const std::string &reason,
@@ -158,28 +160,29 @@
         ++m_counters.m_failed;
     else
         ++m_counters.m_expired;
-    service(owned.m_job.m_id, now);
+    advanceJob(owned.m_job.m_id, now);
 }
 
-void JobTable::tellOver(OwnedJob &owned)
+void JobTable::reportEnded(OwnedJob &owned)
 {
-    if (owned.m_isToldOver || !owned.m_isAccepted)
+    if (owned.m_isEndReported || !owned.m_isAccepted)
         return;
-    owned.m_isToldOver = true;
+    owned.m_isEndReported = true;
     emit(ReportEnded{owned.m_job.m_id, stateOf(owned)});
 }
 
-/// Tells the callers of an ended job while the log is out of reach. A failure is told as it is; an
-/// answer is final only in the log, which another owner may reach first.
-void JobTable::tellByHolder(OwnedJob &owned)
+/// Reports the end of a job to its callers while the log is unreachable. A failure is reported as
+/// final. An answer is only provisional, as it becomes final in the log, which another owner may
+/// reach first.
+void JobTable::reportEndedByHolder(OwnedJob &owned)
 {
     if (owned.m_job.m_phase != wire::JobPhase::Finished) {
-        tellOver(owned);
+        reportEnded(owned);
         return;
     }
-    if (owned.m_isToldProvisional || owned.m_isToldOver || !owned.m_isAccepted)
+    if (owned.m_isProvisionalReported || owned.m_isEndReported || !owned.m_isAccepted)
         return;
-    owned.m_isToldProvisional = true;
+    owned.m_isProvisionalReported = true;
     emit(ReportEnded{owned.m_job.m_id, JobState::Provisional});
 }
 
@@ -204,7 +207,7 @@
     OwnedJob *owned = findAttempt(job, attempt);
     if (owned == nullptr)
         return;
-    // Tokens that got lost on the way here must not be missing from an answer that is said whole.
+    // An answer from which tokens were lost on the way here must not count as complete.
     if (owned->m_job.m_answer.tokens() != wholeTokens) {
         onAttemptFailed(job, attempt, false, now);
         return;
@@ -244,7 +247,7 @@
     for (const JobId &id : ownedIds()) {
         OwnedJob &owned = m_owned.at(id);
         if (owned.m_mode == Mode::TakingOver)
-            m_owned.erase(id); // Its copy, if there is one, is transferred below.
+            m_owned.erase(id); // transferCopies() passes on its copy, if any.
         else if (!owned.m_isAccepted && owned.m_mode == Mode::Normal)
             refuse(owned, Error{ErrorId::Draining, "this node is about to be reclaimed"}, now);
         else if (owned.m_mode != Mode::Withdrawn)
@@ -253,7 +256,7 @@
     transferCopies();
 }
 
-void JobTable::service(const JobId &job, TimePoint now)
+void JobTable::advanceJob(const JobId &job, TimePoint now)
 {
     OwnedJob *owned = findOwned(job);
     if (owned == nullptr)
@@ -293,8 +296,8 @@
     if (isRunnable && owned->m_attempt == 0 && now >= owned->m_nextAttemptAt)
         startAttempt(*owned, now);
     if (owned->m_mode == Mode::HandingOver)
-        driveHandOver(*owned, now);
-    service(job, now);
+        advanceHandOver(*owned, now);
+    advanceJob(job, now);
 }
 
 void JobTable::tick(TimePoint now, WallMillis wallNow)
@@ -307,9 +310,9 @@
     removeFinished(now);
     for (auto copy = m_copyOwners.begin(); copy != m_copyOwners.end();) {
         const Job *job = m_copies.find(copy->first);
-        const WallMillis useless = toWallMillis(m_settings.m_retention)
-                                   + (job == nullptr ? 0 : job->m_request.m_deadline);
-        if (job != nullptr && wallNow < useless) {
+        const WallMillis removeAt = toWallMillis(m_settings.m_retention)
+                                    + (job == nullptr ? 0 : job->m_request.m_deadline);
+        if (job != nullptr && wallNow < removeAt) {
             ++copy;
             continue;
         }
@@ -348,7 +351,7 @@
 {
     while (!m_finished.empty()) {
         const FinishedJob &oldest = m_finished.front();
-        const bool isKept = now - oldest.m_at < m_settings.m_retention
+        const bool isKept = now - oldest.m_finishedAt < m_settings.m_retention
                             && m_finished.size() <= m_settings.m_maximumFinished
                             && m_finishedBytes <= m_settings.m_maximumFinishedBytes;
         if (isKept || !m_platformUp)
--- a/src/jobs/job_table_log.cpp
+++ b/src/jobs/job_table_log.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Progress is cut into records of about this many bytes of text; a log bounds its records.
-constexpr std::size_t recordText = std::size_t{16} * 1024;
+/// Approximate bytes of text in one progress record; logs limit the size of their records.
+constexpr std::size_t maxRecordText = std::size_t{16} * 1024;
 
 std::size_t indexOfEpoch(const EpochHistory &history, std::int64_t epoch)
 {
@@ -20,17 +20,17 @@
     return static_cast<std::size_t>(found - starts.begin());
 }
 
-/// Returns the offset up to which tokens from `from` on fit into one record; at least one token.
+/// Returns the end of the tokens from `from` on that fit into one record; at least one token.
 std::int64_t recordEnd(const AnswerText &answer, std::int64_t from, std::int64_t to)
 {
     const std::size_t start = answer.bytesBefore(from);
-    if (answer.bytesBefore(to) - start <= recordText)
+    if (answer.bytesBefore(to) - start <= maxRecordText)
         return to;
     std::int64_t low = from + 1;
     std::int64_t high = to;
     while (low < high) {
         const std::int64_t middle = low + (high - low + 1) / 2;
-        if (answer.bytesBefore(middle) - start <= recordText)
+        if (answer.bytesBefore(middle) - start <= maxRecordText)
             low = middle;
         else
             high = middle - 1;
@@ -43,19 +43,19 @@
 JobTable::FollowedLog &JobTable::follow(const JobLogId &log, TimePoint now)
 {
     const auto [entry, isNew] = m_logs.try_emplace(log);
-    entry->second.m_usedAt = now;
+    entry->second.m_lastUsedAt = now;
     if (isNew) {
         entry->second.m_originSeenAt = now;
-        readAnew(log, entry->second, now);
+        requestRead(log, entry->second, now);
     }
     return entry->second;
 }
 
-void JobTable::readAnew(const JobLogId &log, FollowedLog &followed, TimePoint now)
+void JobTable::requestRead(const JobLogId &log, FollowedLog &followed, TimePoint now)
 {
-    if (followed.m_readAskedAt)
+    if (followed.m_readRequestedAt)
         return;
-    followed.m_readAskedAt = now;
+    followed.m_readRequestedAt = now;
     emit(FollowLog{log});
 }
 
@@ -64,7 +64,8 @@
     if (!m_platformUp)
         return nullptr;
     FollowedLog &followed = follow(log, now);
-    // What another wrote must be known first: only then is it clear what the log lacks.
+    // What others wrote must be known first: only then is it clear which records are missing in the
+    // log.
     return followed.m_isCaughtUp ? &followed : nullptr;
 }
 
@@ -78,7 +79,7 @@
     m_platformUpSince = now;
     follow(m_ownLog, now);
     for (const JobId &id : ownedIds())
-        service(id, now);
+        advanceJob(id, now);
 }
 
 void JobTable::onLogCaughtUp(const JobLogId &log, TimePoint now)
@@ -87,12 +88,12 @@
     if (found == m_logs.end())
         return;
     found->second.m_isCaughtUp = true;
-    if (const auto askedAt = std::exchange(found->second.m_readAskedAt, std::nullopt))
-        found->second.m_readFrom = *askedAt;
+    if (const auto askedAt = std::exchange(found->second.m_readRequestedAt, std::nullopt))
+        found->second.m_readStartedAt = *askedAt;
     found->second.m_takeOverAt = now + m_settings.m_successorDelay;
     for (const JobId &id : ownedIds()) {
         if (logOf(id) == log)
-            service(id, now);
+            advanceJob(id, now);
     }
 }
 
@@ -115,12 +116,12 @@
     if (effect != RecordEffect::Applied || !followed.m_isCaughtUp)
         return;
     const Job *changed = followed.m_state.find(job);
-    // The owner may have died before this node heard of it at all.
+    // The owner may have died before this node learned that it existed.
     if (changed != nullptr && !changed->isOver() && !isLive(changed->m_owner))
         followed.m_takeOverAt = now + m_settings.m_successorDelay;
     if (m_owned.contains(job)) {
         reconcile(job, followed, now);
-        service(job, now);
+        advanceJob(job, now);
         return;
     }
     const bool isOurs = record.__isset.takeover && changed != nullptr && !changed->isOver()
@@ -131,8 +132,7 @@
     adoptLogged(added, *changed, now);
 }
 
-/// Brings what this node thinks of a job in line with its log. Tells whether the node still has the
-/// job.
+/// Aligns this node's state of a job with the log. Returns whether the node still has the job.
 bool JobTable::reconcile(const JobId &job, FollowedLog &log, TimePoint now)
 {
     OwnedJob &owned = m_owned.at(job);
@@ -147,7 +147,7 @@
         return true;
     if (!reconcileEpoch(owned, *logged, now) || !m_owned.contains(job))
         return false;
-    settle(owned, *logged, now);
+    updateFromLog(owned, *logged, now);
     return m_owned.contains(job);
 }
 
@@ -164,17 +164,17 @@
             adoptLogged(owned, logged, now);
             return true;
         }
-        // Somebody took the job over while this node was paused or cut off. It goes on believing
-        // that it owns the job until it reads so here; what it appended meanwhile names an old
-        // epoch and counts for nothing.
+        // Another node took the job over while this node was paused or partitioned. This node acts
+        // as the owner until it reads the takeover here; what it appended in the meantime names an
+        // old epoch and has no effect.
         fence(owned, logged);
         return false;
     }
     const bool hasMore = logged.m_answer.tokens() > owned.m_job.m_answer.tokens();
     const bool isOver = logged.isOver() && !owned.m_job.isOver();
     if (owned.m_mode == Mode::TakingOver && isLast && (hasMore || isOver)) {
-        // The owner was not dead yet when its death was reported: the takeover on its way names an
-        // offset that the log has passed, and a new one is needed.
+        // The owner was still alive when its death was reported: the takeover that is on its way
+        // names an offset that the log has passed, so that a new one is needed.
         owned.m_job = logged;
         owned.m_appended.reset();
         owned.m_takeoverEpoch = 0;
@@ -185,8 +185,8 @@
 void JobTable::adoptLogged(OwnedJob &owned, const Job &logged, TimePoint now)
 {
     cancelAttempt(owned);
-    overrule(owned, logged);
-    owned.m_isToldProvisional = false;
+    reportOverruled(owned, logged);
+    owned.m_isProvisionalReported = false;
     owned.m_job = logged;
     owned.m_mode = Mode::Normal;
     owned.m_isAccepted = true;
@@ -195,7 +195,7 @@
     owned.m_holder.reset();
     owned.m_checkpointTo = logged.m_answer.tokens();
     ++m_counters.m_takenOver;
-    forgetCopy(logged.m_id);
+    removeCopy(logged.m_id);
     if (m_notice)
         beginHandOver(owned, now);
     else
@@ -207,7 +207,7 @@
     const JobId job = owned.m_job.m_id;
     cancelAttempt(owned);
     releaseCopies(owned, {});
-    overrule(owned, logged);
+    reportOverruled(owned, logged);
     if (owned.m_mode == Mode::Normal) {
         const std::int64_t had = owned.m_job.m_answer.tokens();
         const EpochCheck check = logged.m_epochs.check(owned.m_job.m_epochs.current(), had, had);
@@ -217,21 +217,21 @@
                 static_cast<std::uint64_t>(back == nullptr ? 0 : had - back->m_offset);
     }
     if (owned.m_mode == Mode::TakingOver)
-        forgetCopy(job);
+        removeCopy(job);
     if (owned.m_mode == Mode::Normal || owned.m_mode == Mode::HandingOver)
         emit(RequestReattach{job, logged.m_owner.m_node});
     m_owned.erase(job);
 }
 
-void JobTable::overrule(const OwnedJob &owned, const Job &logged)
+void JobTable::reportOverruled(const OwnedJob &owned, const Job &logged)
 {
-    if (!owned.m_isToldProvisional)
+    if (!owned.m_isProvisionalReported)
         return;
     ++m_counters.m_overruled;
     emit(ReportOverruled{owned.m_job.m_id, logged.m_owner.m_node});
 }
 
-void JobTable::settle(OwnedJob &owned, const Job &logged, TimePoint now)
+void JobTable::updateFromLog(OwnedJob &owned, const Job &logged, TimePoint now)
 {
     const JobId job = owned.m_job.m_id;
     if (logged.m_epochs.current() != owned.m_job.m_epochs.current())
@@ -245,16 +245,16 @@
     if (!logged.isOver())
         return;
     if (owned.m_mode == Mode::TakingOver || owned.m_mode == Mode::HandingOver) {
-        forgetCopy(job);
+        removeCopy(job);
         const bool isOwn = std::exchange(owned.m_mode, Mode::Normal) == Mode::HandingOver;
         if (isOwn)
-            tellOver(owned);
+            reportEnded(owned);
         m_owned.erase(job);
         return;
     }
     if (owned.m_mode != Mode::Normal)
         return;
-    tellOver(owned);
+    reportEnded(owned);
     const std::size_t bytes = logged.memory();
     m_finished.push_back({job, logged.m_epochs.current(), bytes, now});
     m_finishedBytes += bytes;
@@ -298,7 +298,7 @@
         appendFinish(owned);
         appendTakeover(owned);
     }
-    // As long as there is nothing on its way, there is nothing that could be lost.
+    // While nothing is on its way, nothing can be lost.
     const bool isSettled = logged != nullptr && owned.m_mode == Mode::Normal
                            && owned.m_appended->m_epoch == logged->m_epochs.current()
                            && owned.m_appended->m_tokens == logged->m_answer.tokens()
@@ -327,8 +327,8 @@
     owned.m_appended->m_offeredEpoch = owned.m_appended->m_epoch;
 }
 
-/// Former owner and successor may both append the offer. If the log took the other one, what this
-/// node appended behind its own counts for nothing, and is appended again behind the log's.
+/// The former owner and the successor may both append the offer. If the log contains the other one,
+/// what this node appended after its own has no effect and is appended again, based on the log's.
 void JobTable::checkOffer(OwnedJob &owned, const Job &logged)
 {
     const std::int64_t offered = std::exchange(owned.m_appended->m_offeredEpoch, 0);
@@ -339,8 +339,8 @@
         owned.m_appended.reset();
 }
 
-/// Hand-overs made while the platform was out are not in the log yet: each one follows as a
-/// takeover at the offset where it happened.
+/// Hand-overs that were made while the platform was unreachable are not in the log yet. Appends
+/// each of them as a takeover at the offset at which it happened.
 void JobTable::appendEarlierEpochs(OwnedJob &owned)
 {
     const auto &starts = owned.m_job.m_epochs.starts();
@@ -364,14 +364,14 @@
 wire::JobProgress JobTable::progressOf(const Job &job, std::int64_t epoch, std::int64_t from,
                                        std::int64_t to) const
 {
-    AnswerText piece = job.m_answer;
-    piece.truncateTo(to);
+    AnswerText answer = job.m_answer;
+    answer.truncateTo(to);
     wire::JobProgress progress;
     progress.job = job.m_id.text();
     progress.epoch = epoch;
     progress.fromTokens = from;
-    progress.text = std::string(piece.textFrom(from));
-    progress.tokenLengths = piece.encodedLengths(from);
+    progress.text = std::string(answer.textFrom(from));
+    progress.tokenLengths = answer.encodedLengths(from);
     return progress;
 }
 
@@ -414,7 +414,7 @@
     }
     owned.m_appended->m_isTakenOver = true;
     const std::int64_t previous = owned.m_job.m_epochs.current();
-    // Appended again, the takeover is the same one: both may reach the log.
+    // When appended again, the takeover keeps its epoch, as both records may reach the log.
     if (owned.m_takeoverEpoch == 0)
         owned.m_takeoverEpoch = nextEpoch(previous, m_random());
     wire::JobTakeover takeover;
--- a/src/jobs/job_table_peers.cpp
+++ b/src/jobs/job_table_peers.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Returns the possible peer that rendezvous hashing prefers for a job, or no node.
+/// Returns the peer that rendezvous hashing prefers for a job among the possible ones, or an empty
+/// id.
 template <typename IsPossible>
 NodeId choosePeer(const std::vector<JobPeer> &peers, const JobId &job, const IsPossible &isPossible)
 {
@@ -27,7 +28,7 @@
     return best;
 }
 
-/// Sends of one hand-over to one successor before another one is tried.
+/// Attempts to hand a job over to one successor before another one is tried.
 constexpr int handOverSends = 3;
 
 } // namespace
@@ -43,7 +44,7 @@
 NodeId JobTable::chooseHolder(const OwnedJob &owned) const
 {
     return choosePeer(m_peers, owned.m_job.m_id, [&](const JobPeer &peer) {
-        // A peer in the same data centre would go with it.
+        // A peer in the same data centre would be lost together with it.
         return peer.m_dataCentre != m_settings.m_dataCentre && !peer.m_leaving
                && !m_dead.contains(peer.m_process)
                && !owned.m_holdersTried.contains(peer.m_process.m_node);
@@ -60,7 +61,7 @@
     });
 }
 
-bool JobTable::wantsHolder(const OwnedJob &owned, TimePoint now) const
+bool JobTable::needsHolder(const OwnedJob &owned, TimePoint now) const
 {
     if (owned.m_mode != Mode::Normal)
         return false;
@@ -73,11 +74,11 @@
 
 void JobTable::syncToHolder(OwnedJob &owned, TimePoint now)
 {
-    if (owned.m_holder && owned.m_holder->m_isAsked
-        && now - owned.m_holder->m_askedAt >= m_settings.m_peerTimeout) {
-        failHolder(owned);
+    if (owned.m_holder && owned.m_holder->m_isRequestPending
+        && now - owned.m_holder->m_requestedAt >= m_settings.m_peerTimeout) {
+        dropHolder(owned);
     }
-    if (!wantsHolder(owned, now))
+    if (!needsHolder(owned, now))
         return;
     if (!owned.m_holder) {
         const NodeId node = chooseHolder(owned);
@@ -89,10 +90,10 @@
         owned.m_copies.insert(node);
     }
     Holder &holder = *owned.m_holder;
-    if (holder.m_isAsked)
+    if (holder.m_isRequestPending)
         return;
     if (!m_platformUp && holder.m_isOver && owned.m_job.isOver())
-        tellByHolder(owned);
+        reportEndedByHolder(owned);
     wire::JobRecord record;
     if (!holder.m_isHeld) {
         wire::JobOffered offered;
@@ -117,22 +118,23 @@
 
 void JobTable::sendToHolder(OwnedJob &owned, const wire::JobRecord &record, TimePoint now)
 {
-    owned.m_holder->m_isAsked = true;
-    owned.m_holder->m_askedAt = now;
+    owned.m_holder->m_isRequestPending = true;
+    owned.m_holder->m_requestedAt = now;
     wire::JobHold hold;
     hold.owner = toWire(m_settings.m_self);
     hold.record = record;
     emit(HoldAtPeer{owned.m_holder->m_node, hold});
 }
 
-void JobTable::failHolder(OwnedJob &owned)
+void JobTable::dropHolder(OwnedJob &owned)
 {
-    // Its copy is kept as long as no other one is: it may be the only one outside this data centre.
+    // The peer keeps its copy until another one exists, as it may be the only one outside this data
+    // centre.
     owned.m_holdersTried.insert(owned.m_holder->m_node);
     owned.m_holder.reset();
 }
 
-ReleaseAtPeer JobTable::releaseOf(const NodeId &holder, const JobId &job) const
+ReleaseAtPeer JobTable::makeRelease(const NodeId &holder, const JobId &job) const
 {
     wire::JobRelease release;
     release.job = job.text();
@@ -144,7 +146,7 @@
 {
     for (const NodeId &node : owned.m_copies) {
         if (node != except)
-            emit(releaseOf(node, owned.m_job.m_id));
+            emit(makeRelease(node, owned.m_job.m_id));
     }
     const bool isExceptHeld = owned.m_copies.contains(except);
     owned.m_copies.clear();
@@ -162,26 +164,27 @@
         const bool isCopy = owned != nullptr && owned->m_copies.contains(peer);
         const bool isHeld = owned != nullptr && owned->m_holder && owned->m_holder->m_isHeld;
         if (answer.held && !isCopy) {
-            // The answer to a question given up on: the copy would be kept for nobody.
-            emit(releaseOf(peer, job));
+            // The request was given up; without a release, the copy would be kept for nobody.
+            emit(makeRelease(peer, job));
             return;
         }
         const JobPeer *holder = findPeer(peer);
-        const bool isLiving =
+        const bool isLivePeer =
                 holder != nullptr && !holder->m_leaving && !m_dead.contains(holder->m_process);
-        if (!answer.held || !isLiving || isHeld || owned->m_mode != Mode::Normal)
+        if (!answer.held || !isLivePeer || isHeld || owned->m_mode != Mode::Normal)
             return;
-        // A slow peer that was given up on holds the job before the next one does. One that died
-        // since must not count: its answer may still come, and the copy is gone.
+        // A slow peer whose request was given up may still become the holder before the next peer
+        // answers. A peer that died in the meantime must not, as its answer may still arrive
+        // although the copy is gone.
         owned->m_holder = Holder{.m_node = peer};
     }
     Holder &holder = *owned->m_holder;
     if (!answer.held || answer.epoch != owned->m_job.m_epochs.current()) {
-        failHolder(*owned);
+        dropHolder(*owned);
         syncToHolder(*owned, now);
         return;
     }
-    holder.m_isAsked = false;
+    holder.m_isRequestPending = false;
     holder.m_isHeld = true;
     holder.m_tokens = std::min(answer.heldTokens, owned->m_job.m_answer.tokens());
     holder.m_isOver = answer.heldFinished;
@@ -195,14 +198,15 @@
 {
     for (const JobId &id : ownedIds()) {
         OwnedJob &owned = m_owned.at(id);
-        if (owned.m_holder && owned.m_holder->m_node == peer && owned.m_holder->m_isAsked) {
-            failHolder(owned);
+        if (owned.m_holder && owned.m_holder->m_node == peer
+            && owned.m_holder->m_isRequestPending) {
+            dropHolder(owned);
             syncToHolder(owned, now);
         }
         if (owned.m_successor && owned.m_successor->m_node == peer) {
             owned.m_successorsTried.insert(peer);
             owned.m_successor.reset();
-            driveHandOver(owned, now);
+            advanceHandOver(owned, now);
         }
     }
 }
@@ -234,8 +238,9 @@
     emit(AnswerHold{peer, answer});
 }
 
-/// Tells whether an owner's snapshot is at least as new as the copy of the job. Messages may come
-/// late: one of the owner before behind one of its successor, or an old one behind a newer.
+/// Returns whether an owner's snapshot is at least as new as the copy of the job. Messages may
+/// arrive out of order: one of a former owner after one of its successor, or an older one after a
+/// newer one.
 bool JobTable::replacesCopy(const wire::JobSnapshot &snapshot) const
 {
     const Job *copy = m_copies.find(JobId(snapshot.job));
@@ -253,23 +258,23 @@
 {
     const JobId job(release.job);
     const auto owner = m_copyOwners.find(job);
-    // A former owner's release may come late; the copy is its successor's by then. One of the same
-    // node's next process knows nothing of the job.
+    // The release of a former owner may arrive late, when the copy already belongs to its
+    // successor. Likewise, a later process of the same node has no knowledge of the job.
     if (owner == m_copyOwners.end() || owner->second.m_node != peer)
         return;
     if (release.__isset.owner && fromWire(release.owner) != owner->second)
         return;
-    forgetCopy(job);
+    removeCopy(job);
 }
 
-void JobTable::forgetCopy(const JobId &job)
+void JobTable::removeCopy(const JobId &job)
 {
     m_copies.forget(job);
     m_copyOwners.erase(job);
 }
 
-/// A holder that leaves sends its owners away to other holders; for an owner that is dead it finds
-/// another one itself.
+/// Passes on the held copies before this node leaves: a live owner is asked to choose another
+/// holder, and the copies of a dead owner are sent to another holder from here.
 void JobTable::transferCopies()
 {
     for (const auto &[id, process] : m_copyOwners) {
@@ -283,9 +288,9 @@
             emit(AnswerHold{process.m_node, answer});
             continue;
         }
-        OwnedJob standIn;
-        standIn.m_job.m_id = id;
-        const NodeId node = chooseHolder(standIn);
+        OwnedJob placeholder;
+        placeholder.m_job.m_id = id;
+        const NodeId node = chooseHolder(placeholder);
         if (node.isEmpty())
             continue;
         wire::JobOffered offered;
@@ -303,18 +308,18 @@
     owned.m_mode = Mode::HandingOver;
     owned.m_successor.reset();
     owned.m_successorsTried.clear();
-    driveHandOver(owned, now);
-    service(owned.m_job.m_id, now);
+    advanceHandOver(owned, now);
+    advanceJob(owned.m_job.m_id, now);
 }
 
-void JobTable::driveHandOver(OwnedJob &owned, TimePoint now)
+void JobTable::advanceHandOver(OwnedJob &owned, TimePoint now)
 {
     std::optional<Successor> &successor = owned.m_successor;
     if (successor && now - successor->m_sentAt < m_settings.m_peerTimeout)
         return;
     if (successor && successor->m_sent >= handOverSends) {
-        // It may have taken the job all the same. Then two nodes run it, each in an epoch of its
-        // own, until the log takes the one whose takeover comes first.
+        // The successor may have accepted the job all the same. Then two nodes run it, each in its
+        // own epoch, until the log applies the takeover that comes first.
         owned.m_successorsTried.insert(successor->m_node);
         successor.reset();
     }
@@ -344,7 +349,7 @@
         if (owned->m_successor && owned->m_successor->m_node == peer) {
             owned->m_successorsTried.insert(peer);
             owned->m_successor.reset();
-            driveHandOver(*owned, now);
+            advanceHandOver(*owned, now);
         }
         return;
     }
@@ -361,14 +366,15 @@
     const JobId job(handOver.snapshot.job);
     wire::JobHandOverAnswer answer;
     answer.job = job.text();
-    answer.taken = hasMovedOn(handOver.snapshot);
+    answer.taken = isSuperseded(handOver.snapshot);
     OwnedJob *owned = findOwned(job);
     const bool isOwner = owned != nullptr && owned->m_mode != Mode::TakingOver;
     if (isOwner && !handOver.snapshot.epochs.empty()) {
-        // A hand-over may come twice. It may also come back from the node that this one has just
-        // handed the job to, when that is to be reclaimed too: said to be taken, the job would be
-        // dropped by both. What is here counts only if it goes on from what is offered; a finished
-        // job has no new epoch to tell by, and counts only where it stays.
+        // A hand-over may arrive twice. It may also come back from the node to which this node has
+        // just handed the job over, if that one is to be reclaimed too; if both confirmed it, both
+        // would drop the job. Hence a job that is owned here confirms a hand-over only if it
+        // continues from the offered state. An ended job gets no new epoch that would show this, so
+        // that it confirms the offered epoch only while it is not being handed over itself.
         const auto &starts = owned->m_job.m_epochs.starts();
         const std::int64_t offered = handOver.snapshot.epochs.back().epoch;
         const bool isKnown = std::any_of(
@@ -382,17 +388,17 @@
         Result<Job> received = fromWire(handOver.snapshot);
         answer.taken = succeeded(received);
         if (answer.taken) {
-            adopt(valueOf(std::move(received)), now);
+            adoptHandedOver(valueOf(std::move(received)), now);
             answer.epoch = m_owned.at(job).m_job.m_epochs.current();
         }
     }
     emit(AnswerHandOver{peer, answer});
-    service(job, now);
+    advanceJob(job, now);
 }
 
-/// Tells whether the log already knows of a later owner or of the end. A hand-over may be delivered
-/// again long after it was done.
-bool JobTable::hasMovedOn(const wire::JobSnapshot &snapshot) const
+/// Returns whether the log already has a later owner or the end of the job. A hand-over may be
+/// delivered again long after it was done.
+bool JobTable::isSuperseded(const wire::JobSnapshot &snapshot) const
 {
     const std::optional<JobLogId> log = logOf(JobId(snapshot.job));
     if (!log)
@@ -411,10 +417,10 @@
                    [current](const wire::JobEpochStart &start) { return start.epoch == current; });
 }
 
-void JobTable::adopt(Job job, TimePoint now)
+void JobTable::adoptHandedOver(Job job, TimePoint now)
 {
     const JobId id = job.m_id;
-    forgetCopy(id);
+    removeCopy(id);
     m_owned.erase(id);
     OwnedJob owned;
     owned.m_job = std::move(job);
@@ -425,8 +431,8 @@
     OwnedJob &added = m_owned.emplace(id, std::move(owned)).first->second;
     if (added.m_job.isOver())
         return;
-    // The epoch is drawn here: a hand-over delivered twice, or to two nodes, never gives two
-    // generations the same one.
+    // The receiver chooses the epoch, so that a hand-over that is delivered twice, or to two nodes,
+    // never gives two generations the same one.
     added.m_job.m_epochs.begin(nextEpoch(added.m_job.m_epochs.current(), m_random()),
                                added.m_job.m_answer.tokens());
     startAttempt(added, now);
--- a/src/jobs/job_table_read.cpp
+++ b/src/jobs/job_table_read.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// Age of a reading from which a job may still be denied. A reading takes some tens of milliseconds
-/// and half a second at a slow store; a caller that asks again comes after a longer pause.
-constexpr Duration oldestDenial = std::chrono::seconds(1);
+/// Maximum age of a read of the log by which a job may be reported as unknown. A read takes some
+/// tens of milliseconds, and half a second with a slow store; a caller that asks again does so
+/// after a longer pause.
+constexpr Duration maxDenialAge = std::chrono::seconds(1);
 
-/// The one answer to a job that does not exist and to one that is another member's.
+/// Returns the same error for a job that does not exist and for a job of another member.
 Error unknownJob()
 {
     return Error{ErrorId::JobUnknown, "no such job"};
@@ -60,7 +61,7 @@
         if (held == nullptr || held->m_request.m_member != member)
             return unknownJob();
         if (m_dead.contains(copy->second))
-            return Error{ErrorId::NotReady, "the job's owner is gone"};
+            return Error{ErrorId::NotReady, "the owner of the job is dead"};
         return RedirectToNode{copy->second.m_node};
     }
     return reattachLogged(job, member, position, now);
@@ -85,7 +86,7 @@
         follow(*log, now);
         return AwaitLog{*log};
     }
-    found->second.m_usedAt = now;
+    found->second.m_lastUsedAt = now;
     if (const Job *logged = found->second.m_state.find(job)) {
         if (logged->m_request.m_member != member)
             return unknownJob();
@@ -102,11 +103,11 @@
     const TimePoint reportsFrom = std::max(m_platformUpSince, found->second.m_originSeenAt);
     if (!m_platformUp || now - reportsFrom < m_settings.m_unknownJobDelay)
         return Error{ErrorId::NotReady, "the job's holder may still have to report"};
-    // Guards against an old reading: a job may have been accepted by the log while this node was
-    // paused, and its caller was told that there is none. That it isn't there is known only of a
-    // reading that was begun lately.
-    if (now - found->second.m_readFrom > oldestDenial) {
-        readAnew(*log, found->second, now);
+    // Guards against an outdated read: the log may have accepted a job while this node was paused,
+    // and its caller would be told that the job does not exist. Only a recent read proves that it
+    // is missing.
+    if (now - found->second.m_readStartedAt > maxDenialAge) {
+        requestRead(*log, found->second, now);
         return AwaitLog{*log};
     }
     return unknownJob();
--- a/src/jobs/job_table_takeover.cpp
+++ b/src/jobs/job_table_takeover.cpp
@@ -12,7 +12,7 @@
     for (const JobPeer &peer : peers) {
         m_dead.erase(peer.m_process);
         const JobPeer *known = findPeer(peer.m_process.m_node);
-        // A restarted process has nothing of what its former self had in memory.
+        // A restarted process has lost what its predecessor had in memory.
         if (known != nullptr && known->m_process != peer.m_process)
             replaced.push_back(known->m_process);
     }
@@ -24,7 +24,7 @@
             continue;
         const JobPeer *holder = findPeer(owned.m_holder->m_node);
         if (holder != nullptr && holder->m_leaving)
-            failHolder(owned);
+            dropHolder(owned);
     }
 }
 
@@ -32,7 +32,7 @@
 {
     m_dead.emplace(process, now);
     takeOverCopies(now);
-    // The death of a caretaker leaves the logs of those that died before it to the next one.
+    // The caretaker of a log may be dead too: its logs pass to the next caretaker.
     for (const auto &[dead, since] : m_dead) {
         if (isCaretaker(logOf(dead)))
             follow(logOf(dead), now);
@@ -41,7 +41,7 @@
         followed.m_takeOverAt = now + m_settings.m_successorDelay;
     for (auto &[id, owned] : m_owned) {
         if (owned.m_holder && owned.m_holder->m_node == process.m_node)
-            failHolder(owned);
+            dropHolder(owned);
     }
 }
 
@@ -49,7 +49,7 @@
 {
     for (const JobLogId &log : logs) {
         const std::optional<ProcessRef> origin = processOf(log);
-        if (origin && isGone(*origin, now) && isCaretaker(log))
+        if (origin && detectDeath(*origin, now) && isCaretaker(log))
             follow(log, now).m_takeOverAt = now;
     }
 }
@@ -60,9 +60,10 @@
     return process == m_settings.m_self || (peer != nullptr && peer->m_process == process);
 }
 
-/// Tells whether a process is dead, also one that died before this node knew of it: because it was
-/// said so, because its node runs another process, or because it is missing for long.
-bool JobTable::isGone(const ProcessRef &process, TimePoint now)
+/// Returns whether a process is dead, even if it died before this node knew of it: it was reported
+/// dead, its node runs another process, or it has been missing for longer than the orphan delay.
+/// Records a death found here.
+bool JobTable::detectDeath(const ProcessRef &process, TimePoint now)
 {
     if (m_dead.contains(process))
         return true;
@@ -80,8 +81,9 @@
     return true;
 }
 
-/// The process that began a log takes care of it; once that is gone, the live node that rendezvous
-/// hashing prefers. Two nodes that disagree on who lives may both try: the log decides.
+/// Returns whether this node takes over the jobs of a log: the process that created the log does,
+/// or after its death the live node that rendezvous hashing prefers. If nodes disagree on who is
+/// alive, several may try, and the log decides.
 bool JobTable::isCaretaker(const JobLogId &log) const
 {
     if (m_notice)
@@ -106,10 +108,11 @@
     owned.m_mode = Mode::TakingOver;
     owned.m_isAccepted = true;
     m_owned.emplace(job.m_id, std::move(owned));
-    service(job.m_id, now);
+    advanceJob(job.m_id, now);
 }
 
-/// Called again and again, as a copy may arrive from an owner whose death is already known.
+/// Takes over the copies of dead owners. Called repeatedly, as a copy may arrive from an owner that
+/// is already known to be dead.
 void JobTable::takeOverCopies(TimePoint now)
 {
     std::vector<JobId> orphaned;
@@ -119,7 +122,7 @@
     }
     if (m_notice)
         return;
-    // A copy that the log has passed is dropped on the way.
+    // takeOver() drops a copy that the log has superseded.
     for (const JobId &id : orphaned)
         takeOver(*m_copies.find(id), now);
 }
@@ -133,7 +136,7 @@
     for (const auto &[id, job] : followed.m_state.jobs()) {
         if (job.isOver() || isLive(job.m_owner) || m_owned.contains(id))
             continue;
-        if (isGone(job.m_owner, now))
+        if (detectDeath(job.m_owner, now))
             orphaned.push_back(id);
         else
             followed.m_takeOverAt = now + m_settings.m_successorDelay;
@@ -149,13 +152,13 @@
         if (const auto origin = processOf(log); origin && isLive(*origin))
             followed.m_originSeenAt = now;
         const bool isDue = followed.m_takeOverAt && now >= *followed.m_takeOverAt;
-        // After an outage, live owners and holders get to append what they have first.
+        // After an outage, live owners and holders first get time to append their records.
         const bool isSettled =
                 m_platformUp && now - m_platformUpSince >= m_settings.m_successorDelay;
         if (isDue && isSettled && followed.m_isCaughtUp)
             takeOverLog(log, followed, now);
         const bool isUsed = log == m_ownLog || followed.m_takeOverAt || !m_platformUp
-                            || now - followed.m_usedAt < m_settings.m_logIdleTimeout;
+                            || now - followed.m_lastUsedAt < m_settings.m_logIdleTimeout;
         if (!isUsed)
             idle.push_back(log);
     }
--- a/src/jobs/sse_parser.cpp
+++ b/src/jobs/sse_parser.cpp
@@ -60,25 +60,25 @@
             m_partialLine.append(head);
             return Done{};
         }
-        // A carriage return may end one piece and its line feed begin the next.
+        // A piece may end with a carriage return whose line feed begins the next piece.
         m_skipLineFeed = piece[end] == '\r';
         piece.remove_prefix(end + 1);
-        Result<Done> taken = Done{};
+        Result<Done> processed = Done{};
         if (m_partialLine.empty()) {
-            taken = takeLine(head, onData);
+            processed = processLine(head, onData);
         } else {
             m_partialLine.append(head);
-            taken = takeLine(m_partialLine, onData);
+            processed = processLine(m_partialLine, onData);
             m_partialLine.clear();
         }
-        if (!succeeded(taken))
-            return fail(errorOf(taken));
+        if (!succeeded(processed))
+            return fail(errorOf(processed));
     }
     return Done{};
 }
 
-Result<Done> SseParser::takeLine(std::string_view line,
-                                 const std::function<Result<Done>(std::string_view)> &onData)
+Result<Done> SseParser::processLine(std::string_view line,
+                                    const std::function<Result<Done>(std::string_view)> &onData)
 {
     if (m_atStart && line.starts_with(byteOrderMark))
         line.remove_prefix(byteOrderMark.size());
@@ -87,9 +87,9 @@
         if (!m_hasData)
             return Done{};
         m_hasData = false;
-        Result<Done> taken = onData(m_data);
+        Result<Done> processed = onData(m_data);
         m_data.clear();
-        return taken;
+        return processed;
     }
     const std::size_t colon = line.find(':');
     if (line.substr(0, colon) != dataField)
