--- a/include/gypsumdale/ledger/claim_ledger.hpp
+++ b/include/gypsumdale/ledger/claim_ledger.hpp
@@ -21,49 +21,53 @@
 
 namespace gypsumdale {
 
-/// The settings of the ledger of claims.
+/// Settings of a ClaimLedger.
 struct ClaimLedgerSettings
 {
     NodeId m_node;
-    /// Unique for each life of the process.
+    /// Unique for each run of the process.
     std::string m_writer;
-    /// The same on all nodes; changing it forgets all keys.
+    /// Number of shards; must be the same on all nodes. Changing it discards all keys.
     ShardNumber m_shards = 64;
-    /// How long a key is remembered, from its claim on.
+    /// Time for which a key is remembered, counted from its claim.
     Duration m_retention = std::chrono::hours(24);
-    /// By how much clocks may differ; keys are kept so much longer.
+    /// Maximum difference between the clocks of two nodes; keys are kept longer by this time.
     Duration m_clockTolerance = std::chrono::minutes(5);
-    /// The longest a claim waits for the platform, even if its deadline is later.
+    /// Longest wait of a claim for the platform, even if its deadline is later.
     Duration m_claimTimeout = std::chrono::seconds(5);
-    /// The time to come back that a refusal names if the platform named none.
+    /// Retry delay of a refusal if the platform named none.
     Duration m_retryAfter = std::chrono::seconds(1);
-    /// Answers above this are not kept; a resubmission then gets the status alone.
+    /// Maximum size of a stored answer. For a larger one, a resubmission gets the status alone.
     std::size_t m_maxAnswerBytes = 4096;
-    /// A shard's state is dropped after this long without use, and replayed when next needed.
+    /// The state of a shard is dropped after this time without use, and replayed when it is needed
+    /// again.
     Duration m_shardIdleTimeout = std::chrono::minutes(30);
-    /// The least time between two writes to one shard.
+    /// Minimum interval between two writes to one shard.
     Duration m_writeInterval = std::chrono::milliseconds(200);
-    /// Segments of a shard above which its keys are restated, so that older segments can go and a
-    /// replay stays short.
+    /// Number of segments of a shard above which its keys are restated, so that older segments can
+    /// be deleted and a replay stays short.
     std::size_t m_compactionThreshold = 512;
-    /// A segment stays for at least this long, counted from when the node that deletes it saw it.
-    /// Far above m_endTrustDuration: a create that was held up for less meets the segment.
+    /// Minimum age of a deleted segment, counted from when the deleting node first saw it. Far
+    /// above m_endTrustDuration, so that a create that was delayed for less than this finds the
+    /// segment.
     Duration m_trimDelay = std::chrono::minutes(10);
-    /// For how long the end of a log, once seen, is taken to be not trimmed away.
+    /// Time for which the end of a log, once seen, is assumed not to have been trimmed.
     Duration m_endTrustDuration = std::chrono::minutes(1);
-    /// Bytes of kept answers in the memory of one shard.
+    /// Maximum bytes of stored answers in the memory of one shard.
     std::size_t m_maxAnswerMemory = std::size_t{512} * 1024;
 };
 
-/// Runs keyed requests at most once, over any number of nodes that share nothing but the platform.
+/// Ensures that keyed requests run at most once, over any number of nodes that share only the
+/// platform.
 ///
-/// Each node holds one. A request is claimed by appending a record with its attempt to its shard's
-/// log; the first claim of a key in log order stands. Only the node that owns a standing attempt
-/// sends it, once, and only after start() agreed right before. A claim without an outcome is never
-/// run again: nobody can tell a slow holder from a dead one.
+/// Each node has one ledger. A request is claimed by appending a record with its attempt to the log
+/// of its shard; the first claim of a key in log order is valid. Only the node that owns the
+/// attempt of the valid claim sends it, once, and only if start() returned true right before. A
+/// claim without an outcome is never run again, as nobody can distinguish a slow holder from a dead
+/// one.
 ///
-/// No lease is involved, so a pause of any length is harmless. What rests on clocks is only the
-/// forgetting of keys after the retention.
+/// No lease is involved, so that a pause of any length is harmless. Clocks only determine when keys
+/// are discarded after the retention.
 class ClaimLedger
 {
 public:
@@ -72,36 +76,37 @@
     ClaimLedger(ClaimLedger &&) noexcept;
     ClaimLedger &operator=(ClaimLedger &&) noexcept;
 
-    /// Claims a key for an attempt of this node. The result comes as ClaimDecided, often within
+    /// Claims a key for an attempt of this node. The result arrives as ClaimDecided, often within
     /// this call.
     ClaimTicket begin(const ClaimRequest &request, Moment moment);
 
-    /// Claims a key for an attempt of another node, which forwarded it here. The result goes back
-    /// to that node; this node never sends the attempt. Once NotRun was the result here, the
-    /// attempt is dead for everybody.
+    /// Claims a key for an attempt of another node, which forwarded it here. The result is returned
+    /// to that node; this node never sends the attempt. After the result NotRun, no node ever sends
+    /// the attempt.
     ClaimTicket beginForPeer(const ClaimRequest &request, const NodeId &peer, Moment moment);
 
-    /// Registers an attempt of this node whose claim is being forwarded to another one. Ends with
-    /// onForwardResult(), or by itself at the deadline or when patience ends: then the attempt is
-    /// dead, as in onForwardLost().
+    /// Registers an attempt of this node whose claim is forwarded to another node. Ends with
+    /// onForwardResult(), or at the deadline or the claim timeout; then the attempt is abandoned as
+    /// in onForwardLost().
     ClaimTicket beginForwarded(const ClaimRequest &request, Moment moment);
 
-    /// Takes the other node's result for a forwarded claim. Ignored if the ticket was decided in
+    /// Handles the other node's result of a forwarded claim. Ignored if the ticket was decided in
     /// the meantime.
     void onForwardResult(ClaimTicket ticket, const ClaimResult &result, Moment moment);
 
-    /// The reply to a forwarded claim will not come. The attempt, which only this node could send,
-    /// is dead, and a NotRun record is appended so that its claim, if it stands, blocks nobody. The
-    /// ticket is decided as NotRun; a new begin() with a new attempt may follow at once.
+    /// Handles the loss of the reply to a forwarded claim. The attempt, which only this node could
+    /// send, is abandoned, and a NotRun record is appended so that its claim, if it is valid,
+    /// blocks nobody. The ticket is decided as NotRun; a begin() with a new attempt may follow at
+    /// once.
     void onForwardLost(ClaimTicket ticket, Moment moment);
 
-    /// Tells whether a granted attempt may be sent now, to be called right before the first byte.
-    /// True at most once for an attempt, and never after its deadline; then the attempt is dead and
-    /// recorded as not run.
+    /// Returns whether a granted attempt may be sent now; to be called right before the first byte
+    /// is sent. Returns true at most once for an attempt, and never after its deadline, when the
+    /// attempt is abandoned and recorded as not run.
     bool start(const AttemptId &attempt, Moment moment);
 
-    /// Records how a started attempt ended. Done keeps the answer, if it is small enough. An
-    /// attempt that was granted but never started may only end as NotRun.
+    /// Records the outcome of a started attempt. Done stores the answer if it is small enough. For
+    /// an attempt that was granted but not started, NotRun is recorded.
     void finish(const AttemptId &attempt, Outcome outcome, const StoredAnswer &answer,
                 Moment moment);
 
@@ -109,44 +114,46 @@
     /// PeerMalformed for bytes that are not such a record, and with QueueFull.
     Result<Done> appendForPeer(ShardNumber number, std::string_view record, Moment moment);
 
-    /// Returns a command to carry out now, if any; call it until it returns nothing. Each command
-    /// needs exactly one onAnswer().
+    /// Returns the next command to execute now, if any; to be called until it returns nothing. Each
+    /// command requires exactly one onAnswer().
     std::optional<ShardCommand> next(Moment moment);
 
     void onAnswer(ShardNumber shard, const LogAnswer &answer, Moment moment);
 
-    /// Applies the passing of time: decides what waited too long, drops idle shards. Call it at
-    /// nextWake(). Linear in the loaded shards and what waits.
+    /// Handles the passing of time: decides claims that waited too long and drops idle shards. To
+    /// be called at nextWake(). Complexity: linear in the number of loaded shards and pending
+    /// attempts.
     void advance(Moment moment);
 
-    /// Returns when advance() or next() may have something to do without any further event.
+    /// Returns the time at which advance() or next() may have work without a further event.
     std::optional<TimePoint> nextWake() const;
 
     std::vector<ClaimEvent> takeEvents();
 
-    /// Sets how long keys claimed from now on are remembered. Keys are forgotten in the order of
-    /// their claims, so after a cut in the retention none is forgotten before those ahead of it.
+    /// Sets how long keys that are claimed from now on are remembered. Keys are discarded in the
+    /// order of their claims: after the retention was reduced, none is discarded before the keys
+    /// claimed earlier.
     void setRetention(Duration retention) { m_settings.m_retention = retention; }
 
-    /// Returns the shard of a key. Constant.
+    /// Returns the shard of a key. Complexity: constant.
     ShardNumber shardOf(const MemberId &member, std::string_view key) const;
 
-    /// Keys held in memory, over all loaded shards.
+    /// Returns the number of keys in memory, over all loaded shards.
     std::size_t keyCount() const;
     std::size_t loadedShards() const { return m_loaded.size(); }
 
 private:
     detail::ClaimShard &shard(ShardNumber number);
-    ClaimTicket claimHere(const ClaimRequest &request, detail::ClaimRole role, const NodeId &sender,
-                          Moment moment);
+    ClaimTicket claimLocally(const ClaimRequest &request, detail::ClaimRole role,
+                             const NodeId &sender, Moment moment);
     ClaimTicket add(const ClaimRequest &request, detail::ClaimRole role, Moment moment);
     void tryClaim(detail::ClaimAttempt &attempt, bool isFresh, Moment moment);
-    /// When a record of now is forgotten.
+    /// Returns the expiry of a record that is written now.
     WallMillis expiry(Moment moment) const;
     void appendClaim(detail::ClaimAttempt &attempt, Moment moment);
     void decide(detail::ClaimAttempt &attempt, ClaimResult result);
     void grant(detail::ClaimAttempt &attempt, Moment moment);
-    void giveUp(detail::ClaimAttempt &attempt, const NotRun &result, Moment moment);
+    void abandonAttempt(detail::ClaimAttempt &attempt, const NotRun &result, Moment moment);
     void appendNotRun(const detail::ClaimAttempt &attempt, Moment moment);
     void recordOutcome(const detail::ClaimAttempt &attempt, Outcome outcome,
                        const StoredAnswer &answer, Moment moment);
@@ -156,12 +163,12 @@
     void handle(ShardNumber number, const LogGap &event, Moment moment);
     void handle(ShardNumber number, const LogStray &event, Moment moment);
     void handle(ShardNumber number, const LogCorrupt &event, Moment moment);
-    void claimApplied(detail::ClaimAttempt &attempt, bool stands, Moment moment);
+    void claimApplied(detail::ClaimAttempt &attempt, bool isValid, Moment moment);
     void refuseWaiting(ShardNumber number, const NotRun &result, Moment moment);
     void expireAttempts(Moment moment);
     void dropIdleShards(Moment moment);
-    template <typename Trouble>
-    void reportTrouble(ShardNumber number, const Trouble &trouble);
+    template <typename Problem>
+    void reportProblem(ShardNumber number, const Problem &problem);
 
     ClaimLedgerSettings m_settings;
     std::map<ShardNumber, std::unique_ptr<detail::ClaimShard>> m_loaded;
@@ -170,7 +177,7 @@
     std::vector<ClaimEvent> m_events;
 };
 
-/// Builds a ledger. Each function sets the setting of ClaimLedgerSettings that has its name.
+/// Builds a ClaimLedger. Each function sets the setting of ClaimLedgerSettings with its name.
 class ClaimLedgerBuilder
 {
 public:
--- a/include/gypsumdale/ledger/claim_messages.hpp
+++ b/include/gypsumdale/ledger/claim_messages.hpp
@@ -15,49 +15,49 @@
 namespace gypsumdale {
 
 /// The first 16 bytes of a SHA-256. Callers choose keys and may be hostile, so that a fast hash,
-/// for which collisions can be made, will not do.
+/// for which collisions can be constructed, is not sufficient.
 using Digest = std::array<std::uint8_t, 16>;
 
-/// Returns the digest of any bytes. Linear.
+/// Returns the digest of any bytes. Complexity: linear.
 Digest digestOf(std::string_view bytes);
 
-/// Returns the digest under which a member's idempotency key is filed. Keys of two members never
-/// meet: the length of the member's name is part of what is hashed. Linear.
+/// Returns the digest that identifies a member's idempotency key. Keys of two members never
+/// collide, as the length of the member's name is part of the hashed data. Complexity: linear.
 Digest keyDigest(const MemberId &member, std::string_view key);
 
-/// Names one shard of the claims, counted from 0.
+/// The number of a shard of the claims, counted from 0.
 using ShardNumber = std::uint32_t;
 
-/// Names one attempt to run a request. Unique for all time: it holds the process's life and a
-/// counter, and is never used for a second begin().
+/// The id of an attempt to run a request. Globally unique and never reused: it contains the run of
+/// the process and a counter, and is never used for a second begin().
 using AttemptId = Id<struct AttemptIdTag>;
 
-/// One call of begin().
+/// Identifies one call of begin().
 using ClaimTicket = std::uint64_t;
 
-/// A keyed request that wants to run.
+/// A request with a key that is to be run.
 struct ClaimRequest
 {
     MemberId m_member;
     std::string m_key;
     Digest m_bodyDigest{};
     AttemptId m_attempt;
-    /// The attempt is sent before this or never.
+    /// The attempt is never sent after this time.
     TimePoint m_deadline;
 };
 
-/// The caller may send this attempt, once, after ClaimLedger::start() said so.
+/// The caller may send this attempt once, if ClaimLedger::start() returns true.
 struct Granted
 {
     AttemptId m_attempt;
 };
 
-/// An answer as the ledger keeps it.
+/// An answer as the ledger stores it.
 struct StoredAnswer
 {
     int m_status = 0;
     std::string m_contentType;
-    /// Nothing if it was above the limit.
+    /// Absent if it was above the size limit.
     std::optional<std::string> m_body;
 };
 
@@ -68,16 +68,17 @@
     StoredAnswer m_answer;
 };
 
-/// An earlier attempt with this key runs, or may have run: it is not known whether it did.
+/// An earlier attempt with this key is running or may have run; its outcome is unknown.
 struct InProgressOrUnknown
 {
     AttemptId m_attempt;
 };
 
-/// The key came with another body before (ErrorId::KeyReusedWithOtherBody). Nothing was run.
+/// The key was used before with another body (ErrorId::KeyReusedWithOtherBody). Nothing was run.
 struct KeyReused
 {};
 
+/// Why an attempt was not run.
 enum class NotRunReason {
     PlatformOut,
     DeadlinePassed,
@@ -101,21 +102,21 @@
 
 using ClaimResult = std::variant<Granted, AlreadyDone, InProgressOrUnknown, KeyReused, NotRun>;
 
-/// A begin() has its result; each ticket gets exactly one.
+/// The result of a begin(); each ticket gets exactly one.
 struct ClaimDecided
 {
     ClaimTicket m_ticket = 0;
     ClaimResult m_result;
 };
 
-/// A finished attempt's outcome now stands in the platform, so that a resubmission anywhere finds
-/// it.
+/// The outcome of a finished attempt is stored in the platform, so that a resubmission to any node
+/// finds it.
 struct OutcomeRecorded
 {
     AttemptId m_attempt;
 };
 
-/// Something an operator should see: segments gone unread, or a corrupt one.
+/// A problem to show to operators: segments that vanished unread, a stray segment or a corrupt one.
 struct ShardProblem
 {
     ShardNumber m_shard = 0;
@@ -123,8 +124,8 @@
 };
 
 /// A record for the log of a shard that another node writes: the outcome of an attempt whose claim
-/// was forwarded. To be sent to the preferred node's appendForPeer(), or to one's own if that
-/// fails.
+/// was forwarded. To be sent to the preferred node's appendForPeer(), or passed to the own one if
+/// that fails.
 struct RecordToForward
 {
     ShardNumber m_shard = 0;
@@ -133,14 +134,14 @@
 
 using ClaimEvent = std::variant<ClaimDecided, OutcomeRecorded, RecordToForward, ShardProblem>;
 
-/// A command for the log of one shard, whose objects are `claims/<shardName>/<segmentName>`.
+/// A command for the log of one shard, whose objects are named `claims/<shardName>/<segmentName>`.
 struct ShardCommand
 {
     ShardNumber m_shard = 0;
     LogCommand m_command;
 };
 
-/// Returns a shard's part of the object name. Constant.
+/// Returns the part of the object names that identifies a shard. Complexity: constant.
 std::string shardName(ShardNumber shard);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/ledger/log_messages.hpp
+++ b/include/gypsumdale/ledger/log_messages.hpp
@@ -11,18 +11,18 @@
 
 namespace gypsumdale {
 
-/// Counts the segments of a log from 1.
+/// The number of a segment of a log, counted from 1.
 using SegmentNumber = std::uint64_t;
 
-/// Returns the last part of a segment's object name, zero-padded so that names sort as the numbers
-/// do. Constant.
+/// Returns the last part of the object name of a segment, zero-padded so that names sort like the
+/// numbers. Complexity: constant.
 std::string segmentName(SegmentNumber number);
 
-/// Returns the number in the last part of an object's name, or nothing if it is not a segment's.
-/// Linear in the name.
+/// Returns the segment number in the last part of an object name, or nothing if the object is not a
+/// segment. Complexity: linear in the length of the name.
 std::optional<SegmentNumber> segmentNumberIn(std::string_view objectName);
 
-/// List the names below the log's prefix.
+/// List the object names below the prefix of the log.
 struct ListSegments
 {};
 
@@ -43,58 +43,58 @@
     SegmentNumber m_number = 0;
 };
 
-/// What a log asks of the platform; at most one command of a log is outstanding.
+/// A command of a log to the platform; a log has at most one outstanding command.
 using LogCommand = std::variant<ListSegments, ReadSegment, CreateSegment, DeleteSegment>;
 
-/// The answer to ListSegments, in any order.
+/// Answer to ListSegments: the segment numbers in any order.
 struct SegmentsListed
 {
     std::vector<SegmentNumber> m_numbers;
 };
 
-/// 200 to ReadSegment.
+/// Answer 200 to ReadSegment.
 struct SegmentRead
 {
     std::string m_body;
 };
 
-/// 404 to ReadSegment.
+/// Answer 404 to ReadSegment.
 struct SegmentMissing
 {};
 
-/// 201 to CreateSegment.
+/// Answer 201 to CreateSegment.
 struct SegmentCreated
 {};
 
-/// 412 to CreateSegment: the object exists.
+/// Answer 412 to CreateSegment: the object exists.
 struct SegmentConflict
 {};
 
-/// 204 or 404 to DeleteSegment.
+/// Answer 204 or 404 to DeleteSegment.
 struct SegmentDeleted
 {};
 
-/// The command may or may not have taken effect, or may yet: no answer, a broken connection, 5xx.
+/// No answer, a broken connection, or 5xx: the command may have taken effect, or may still do so.
 struct LogAnswerLost
 {
-    /// How long the next command shall wait.
+    /// Minimum delay before the next command.
     Duration m_retryAfter{};
 };
 
-/// The command certainly had no effect: 429, or nothing was sent.
+/// Answer 429, or nothing was sent: the command had no effect.
 struct LogRefused
 {
     Duration m_retryAfter{};
 };
 
-/// How the platform answered the outstanding command.
+/// An answer of the platform to the outstanding command.
 using LogAnswer = std::variant<SegmentsListed, SegmentRead, SegmentMissing, SegmentCreated,
                                SegmentConflict, SegmentDeleted, LogAnswerLost, LogRefused>;
 
-/// One record that the caller handed to append().
+/// Identifies one record passed to append().
 using LogTicket = std::uint64_t;
 
-/// A record stands in the log. Reported in log order, once each.
+/// A record is part of the log. Reported in log order, once for each record.
 struct RecordApplied
 {
     SegmentNumber m_number = 0;
@@ -106,33 +106,33 @@
     std::optional<LogTicket> m_ticket;
 };
 
-/// An abandoned record is now known never to take effect.
+/// An abandoned record will certainly never take effect.
 struct RecordDropped
 {
     LogTicket m_ticket = 0;
 };
 
-/// All segments that existed when this reading began have been applied.
+/// All segments that existed when this read began have been applied.
 struct LogCaughtUp
 {};
 
-/// Segments are gone unread: trimmed, so that their records had expired or stand again in
-/// later ones, or removed by an operator.
+/// Segments vanished unread. They were trimmed, when their records had expired or are repeated in
+/// later segments, or were removed by an operator.
 struct LogGap
 {
     SegmentNumber m_first = 0;
     SegmentNumber m_last = 0;
 };
 
-/// A segment that was applied turned out not to belong to the log: a writer that had been paused
-/// for longer than records are kept put it where a trimmed one had been. Its records had expired.
+/// An applied segment turned out not to belong to the log: a writer that had been paused for longer
+/// than segments are kept created it in place of a trimmed one. Its records had expired.
 struct LogStray
 {
     SegmentNumber m_number = 0;
 };
 
-/// A segment that can't be read as one, or an end of the log that is gone. The log stops in front
-/// of it, and reads it again from time to time, until it is mended or removed.
+/// A segment cannot be decoded, or the end of the log is missing. The log stops before it and reads
+/// it again from time to time, until it is repaired or removed.
 struct LogCorrupt
 {
     SegmentNumber m_number = 0;
--- a/include/gypsumdale/ledger/moment.hpp
+++ b/include/gypsumdale/ledger/moment.hpp
@@ -4,15 +4,15 @@
 
 namespace gypsumdale {
 
-/// A point in time on both clocks: the monotonic one measures how long something took, the time of
-/// day goes into records that other processes read.
+/// A point in time on both clocks. The monotonic clock measures durations; the wall clock goes into
+/// records that other processes read.
 struct Moment
 {
     TimePoint m_now;
     WallMillis m_wall = 0;
 };
 
-/// Reads both clocks. Constant.
+/// Returns the time of both clocks. Complexity: constant.
 inline Moment momentOf(const Clock &clock)
 {
     return {clock.now(), clock.wallNow()};
--- a/include/gypsumdale/ledger/order_lease.hpp
+++ b/include/gypsumdale/ledger/order_lease.hpp
@@ -10,20 +10,20 @@
 
 namespace gypsumdale {
 
-/// The version of the lease's object. Versions only grow, so that an engine can refuse orders of an
-/// orderer that was replaced.
+/// The version of the lease object. Versions only increase, so that an engine can refuse orders of
+/// an orderer that was replaced.
 using FencingNumber = std::uint64_t;
 
 struct ReadLease
 {};
 
-/// Create the lease's object only if it is absent.
+/// Create the lease object only if it is absent.
 struct CreateLease
 {
     std::string m_body;
 };
 
-/// Update the lease's object only if it still has this version (`If-Match`).
+/// Update the lease object only if it still has this version (`If-Match`).
 struct UpdateLease
 {
     FencingNumber m_version = 0;
@@ -32,28 +32,28 @@
 
 using LeaseCommand = std::variant<ReadLease, CreateLease, UpdateLease>;
 
-/// 200 to ReadLease.
+/// Answer 200 to ReadLease.
 struct LeaseRead
 {
     FencingNumber m_version = 0;
     std::string m_body;
 };
 
-/// 404 to ReadLease.
+/// Answer 404 to ReadLease.
 struct LeaseMissing
 {};
 
-/// 200 or 201 to a write.
+/// Answer 200 or 201 to a write.
 struct LeaseWritten
 {
     FencingNumber m_version = 0;
 };
 
-/// 412 to a write.
+/// Answer 412 to a write.
 struct LeaseConflict
 {};
 
-/// No answer, or one that proves nothing; a write may have taken effect, or may yet.
+/// No answer, or an inconclusive one; a write may have taken effect, or may still do so.
 struct LeaseAnswerLost
 {
     Duration m_retryAfter{};
@@ -62,50 +62,54 @@
 using LeaseAnswer =
         std::variant<LeaseRead, LeaseMissing, LeaseWritten, LeaseConflict, LeaseAnswerLost>;
 
-/// The settings of a lease; durations must be the same on all nodes of a data centre.
+/// Settings of an OrderLease; the durations must be the same on all nodes of a data centre.
 struct OrderLeaseSettings
 {
-    /// Unique for each life of a process.
+    /// Unique for each run of a process.
     std::string m_holder;
     Duration m_duration = std::chrono::seconds(10);
     Duration m_renewInterval = std::chrono::seconds(3);
-    /// The holder stops this long before the lease's end: for an order on its way and for clocks
-    /// that run at different rates.
+    /// The holder stops ordering this long before the lease ends, as a margin for orders on their
+    /// way and for clocks that run at different rates.
     Duration m_margin = std::chrono::seconds(2);
-    /// The longest pause of a process that engines without fencing are guarded against.
+    /// Longest pause of a process against which engines without fencing are protected.
     Duration m_longestPause = std::chrono::seconds(30);
-    /// Between two readings by a node that does not hold the lease.
+    /// Interval between two reads by a node that does not hold the lease.
     Duration m_readInterval = std::chrono::seconds(3);
 };
 
-/// The lease of a data centre's one orderer, kept in one object of the platform.
+/// The lease of the single orderer of a data centre, stored in one object of the platform.
 ///
-/// Others take a lease over once they have seen its object unchanged for the whole duration on
-/// their own monotonic clock; no two clocks are compared. A holder counts its lease from when it
-/// sent the write. A holder that is paused can still believe it holds it: hence fence(), to be
-/// asked right before each order, and the engines' check of the number, which alone is certain.
+/// Another node takes the lease over when it has seen the object unchanged for the whole duration
+/// on its own monotonic clock; clocks of different nodes are never compared. The holder counts its
+/// lease from the time at which it sent the write. A holder that was paused may still consider
+/// itself the holder. Hence fence() must be called right before each order, and engines check the
+/// number; only this check is certain.
 class OrderLease
 {
 public:
     explicit OrderLease(OrderLeaseSettings settings);
 
-    /// Returns the command to carry out now, if any. Each needs exactly one onAnswer().
+    /// Returns the command to execute now, if any. Each command requires exactly one onAnswer().
     std::optional<LeaseCommand> next(TimePoint now);
 
     void onAnswer(const LeaseAnswer &answer, TimePoint now);
 
-    /// Returns the number to order with, or nothing if this process must not order now. For engines
-    /// that check it.
+    /// Returns the fencing number to order with, or nothing if this process must not order now. For
+    /// engines that check the number.
     std::optional<FencingNumber> fence(TimePoint now) const;
 
-    /// The same for engines that ignore the number: it also waits out the longest pause after the
-    /// take-over, so that an order of the old holder can't arrive after one of the new.
+    /// Like fence(), for engines that ignore the number: after a takeover it returns nothing for
+    /// the longest pause, so that no order of the old holder can arrive after one of the new
+    /// holder.
     std::optional<FencingNumber> fenceForUncheckedEngine(TimePoint now) const;
 
-    /// An engine refused the number as old: somebody else holds the lease. Stops at once and reads.
+    /// Records that an engine refused the number as outdated, so that another process holds the
+    /// lease. Stops ordering at once and reads the lease.
     void onFenced();
 
-    /// Gives the lease up at a planned stop, so that the next holder need not wait for its lapse.
+    /// Releases the lease at a planned stop, so that the next holder need not wait until it
+    /// expires.
     void release();
 
     std::optional<TimePoint> nextWake() const;
@@ -115,6 +119,7 @@
 private:
     enum class Waiting { Nothing, Read, Write };
 
+    /// The last read state of the lease object, unchanged since m_since.
     struct Seen
     {
         FencingNumber m_version = 0;
@@ -128,7 +133,7 @@
     void onUnchanged(TimePoint now);
     void onMissing(TimePoint now);
     void onWritten(FencingNumber version);
-    bool mayTake(TimePoint now) const;
+    bool canTakeOver(TimePoint now) const;
     std::string bodyToWrite(bool released);
 
     OrderLeaseSettings m_settings;
@@ -137,21 +142,21 @@
     std::optional<TimePoint> m_missingSince;
     bool m_releasing = false;
     std::int64_t m_lastWrite = 0;
-    /// A write whose outcome is not known; it is repeated as it is.
+    /// A write whose outcome is unknown; it is repeated unchanged.
     std::optional<std::string> m_unsettled;
     std::optional<Seen> m_seen;
     std::optional<FencingNumber> m_held;
-    /// When the last write was sent.
+    /// Time at which the last write was sent.
     TimePoint m_writtenAt;
-    /// When the write that the lease rests on was sent.
-    TimePoint m_heldFrom;
-    /// When this process took the lease over, for the wait of fenceForUncheckedEngine().
-    TimePoint m_takenAt;
+    /// Time at which the write that the lease is based on was sent.
+    TimePoint m_heldSince;
+    /// Time at which this process took the lease over, for the delay of fenceForUncheckedEngine().
+    TimePoint m_takenOverAt;
     TimePoint m_sentAt;
-    TimePoint m_nextTry;
+    TimePoint m_nextAttemptAt;
 };
 
-/// Builds a lease. Each function sets the setting of OrderLeaseSettings that has its name.
+/// Builds an OrderLease. Each function sets the setting of OrderLeaseSettings with its name.
 class OrderLeaseBuilder
 {
 public:
--- a/include/gypsumdale/ledger/order_reconciler.hpp
+++ b/include/gypsumdale/ledger/order_reconciler.hpp
@@ -10,13 +10,13 @@
 
 namespace gypsumdale {
 
-/// Whether an engine refuses an order with an old fencing number.
+/// Whether an engine refuses orders with an outdated fencing number.
 enum class Fencing {
     Checked,
     Ignored,
 };
 
-/// Send the whole desired state to an engine, under this number.
+/// Send the complete desired state to an engine under this fencing number.
 struct SendOrder
 {
     UpstreamId m_engine;
@@ -24,7 +24,7 @@
     std::string m_order;
 };
 
-/// Ask an engine which state it is in.
+/// Query the state of an engine.
 struct ReadEngine
 {
     UpstreamId m_engine;
@@ -32,35 +32,39 @@
 
 using EngineCommand = std::variant<SendOrder, ReadEngine>;
 
-/// Brings the engines of a data centre to their desired state, while this process holds the lease.
+/// Brings the engines of a data centre to their desired state while this process holds the lease.
 ///
-/// Orders are level-triggered: each carries the whole state wanted, so that repeating one does no
-/// harm. After an order, and from time to time, the engine is read, and ordered again if it
-/// differs: that corrects what a late order of an earlier orderer did to an engine that ignores the
-/// number.
+/// Orders are level-triggered: each contains the complete desired state, so that repeating one is
+/// harmless. After an order, and at regular intervals, the state of the engine is read, and the
+/// order is repeated if it differs. This corrects the effect of a late order of an earlier orderer
+/// on an engine that ignores the fencing number.
 class OrderReconciler
 {
 public:
-    /// The interval is the longest time for which a wrong state goes unseen.
+    /// `readInterval` is the longest time for which a wrong state goes undetected.
     explicit OrderReconciler(Duration readInterval)
         : m_readInterval(readInterval)
     {}
 
-    /// Sets what an engine shall be in, as an opaque text that compares equal to what it reports.
+    /// Sets the desired state of an engine, as an opaque text that is compared with the state that
+    /// the engine reports.
     void setDesired(const UpstreamId &engine, Fencing fencing, std::string order);
     void remove(const UpstreamId &engine) { m_engines.erase(engine); }
 
-    /// Returns a command to carry out at once: the lease is checked in this call. At most one is
-    /// outstanding for an engine; each needs exactly one of the answers below. Linear.
+    /// Returns a command to execute at once, as the lease is checked in this call. An engine has at
+    /// most one outstanding command; each requires exactly one of the calls below. Complexity:
+    /// linear in the number of engines.
     std::optional<EngineCommand> next(const OrderLease &lease, TimePoint now);
 
-    /// The engine answered an order, or its answer was lost: it is read before anything else.
+    /// Records that the engine answered an order, or that the answer was lost: the state of the
+    /// engine is read before it gets another order.
     void onOrderAnswered(const UpstreamId &engine);
 
-    /// The engine is in this state, or did not say.
+    /// Records the state that an engine reported, or that it did not answer.
     void onRead(const UpstreamId &engine, const std::optional<std::string> &state, TimePoint now);
 
-    /// Tells whether all engines were last seen as desired. Linear.
+    /// Returns whether all engines had the desired state when last read. Complexity: linear in the
+    /// number of engines.
     bool isConverged() const;
 
 private:
--- a/include/gypsumdale/ledger/outcome.hpp
+++ b/include/gypsumdale/ledger/outcome.hpp
@@ -4,13 +4,13 @@
 
 namespace gypsumdale {
 
-// g++ 12 takes the names of a scoped enumeration for a shadowing of gypsumdale::Done.
+// g++ 12 reports enumerators of a scoped enumeration as shadowing gypsumdale::Done.
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wshadow"
 
-/// What is known of a request that must not run twice.
+/// Known outcome of a request that must not run twice.
 enum class Outcome {
-    Done, ///< It ran, once, and its answer arrived.
+    Done, ///< It ran once, and its answer arrived.
     NotRun, ///< It did not run and never will.
     Unknown, ///< It may have run.
 };
@@ -23,12 +23,12 @@
         {Outcome::Unknown, "unknown"},
 }};
 
-/// How far a call to an upstream came.
+/// How far a call to an upstream got.
 enum class CallPhase {
-    NothingSent, ///< No byte of the request was handed to the connection.
+    NothingSent, ///< No byte of the request was passed to the connection.
     RefusedBeforeStart, ///< The upstream answered 503 with `X-Not-Run: 1`.
-    MayHaveBeenRead, ///< Bytes were sent and no whole answer came.
-    Answered, ///< A whole answer arrived, whatever its status.
+    MayHaveBeenRead, ///< Bytes were sent, and no complete answer arrived.
+    Answered, ///< A complete answer arrived, with any status.
 };
 
 inline constexpr NameTable<CallPhase, 4> callPhaseNames = {{
@@ -38,8 +38,8 @@
         {CallPhase::Answered, "answered"},
 }};
 
-/// Returns the outcome that a call's end proves. A write that succeeded proves nothing: the
-/// connection may have been silent for good, so that MayHaveBeenRead is always Unknown. Constant.
+/// Returns the outcome that the end of a call proves. A successful write proves nothing, as the
+/// connection may already have been dead: MayHaveBeenRead is always Unknown. Complexity: constant.
 constexpr Outcome outcomeOf(CallPhase phase)
 {
     switch (phase) {
--- a/include/gypsumdale/ledger/platform_log.hpp
+++ b/include/gypsumdale/ledger/platform_log.hpp
@@ -15,106 +15,111 @@
 
 namespace gypsumdale {
 
-/// Whether a log can be written to now.
+/// The state of a log.
 enum class LogState {
-    Behind, ///< There are segments it has not read, or it does not know.
-    UpToDate, ///< It has applied all that it knows of.
-    Unavailable, ///< The platform did not answer; it waits to try again.
-    Corrupt, ///< It stands in front of a segment that it can't read.
+    Behind, ///< Unread segments exist, or whether any exist is unknown.
+    UpToDate, ///< All known segments are applied.
+    Unavailable, ///< The platform did not answer; the next attempt is pending.
+    Corrupt, ///< The next segment is not readable.
 };
 
-/// The settings of a log.
+/// Settings of a PlatformLog.
 struct PlatformLogSettings
 {
-    /// Unique for each life of a process: a segment counts as one's own by it.
+    /// Unique for each run of a process; identifies the segments that this process wrote.
     std::string m_writer;
-    /// Bytes of records in one segment; the platform takes 1 MiB.
+    /// Maximum bytes of records in one segment; the platform accepts 1 MiB.
     std::size_t m_maxSegmentBytes = std::size_t{256} * 1024;
-    /// Bytes of one record.
+    /// Maximum bytes of one record.
     std::size_t m_maxRecordBytes = std::size_t{64} * 1024;
-    /// Bytes of all records that wait.
+    /// Maximum bytes of all waiting records.
     std::size_t m_maxWaitingBytes = std::size_t{4} * 1024 * 1024;
-    /// The least time between two creates, so that a node stays within its share of writes.
+    /// Minimum interval between two creates, so that a node stays within its share of the
+    /// platform's writes.
     Duration m_writeInterval = std::chrono::milliseconds(50);
-    /// For how long the end of the log, once seen, is taken to be not trimmed away. Far below the
-    /// time for which segments are kept.
+    /// Time for which the end of the log, once seen, is assumed not to have been trimmed. Far below
+    /// the time for which segments are kept.
     Duration m_endTrustDuration = std::chrono::minutes(1);
-    /// Between two readings of a corrupt segment.
+    /// Interval between two reads of a corrupt segment.
     Duration m_corruptRetry = std::chrono::seconds(10);
 };
 
 /// One append-only log in the platform: objects numbered from 1, each created only if absent.
 ///
-/// Only who has read up to n can write n + 1, so that a process that was paused can't append behind
-/// the back of others: its create fails and it reads what it missed. A create whose answer was lost
-/// is repeated with the same number and body until the object is seen: as its own (the writer and
-/// batch in it tell) or as another's.
+/// Only a writer that has read up to n can create n + 1. A process that was paused therefore can't
+/// append after segments that it has not read: its create fails, and it reads what it missed. A
+/// create whose answer was lost is repeated with the same number and body until the object is seen,
+/// either as its own, as its writer and batch show, or as another writer's.
 ///
-/// Pure logic: next() gives the command to carry out, onAnswer() takes what came of it. Each
-/// command that next() returned needs exactly one onAnswer().
+/// Performs no I/O: next() returns the command to execute, and onAnswer() handles its answer. Each
+/// command that next() returned requires exactly one onAnswer().
 class PlatformLog
 {
 public:
     explicit PlatformLog(PlatformLogSettings settings);
 
-    /// Queues a record. Fails with RequestTooLarge for one above the limit and with QueueFull if
-    /// too much waits; then nothing is left behind. Records of one log keep their order.
+    /// Queues a record. Fails with RequestTooLarge if it is above the size limit, and with
+    /// QueueFull if too much is waiting; then nothing is queued. Records of one log keep their
+    /// order.
     Result<LogTicket> append(std::string record) { return m_queue.append(std::move(record)); }
 
-    /// Gives up on a record and tells whether it can still take effect. A ticket that is no longer
-    /// known, because it was applied or dropped, gives MayBeWritten. Linear in what waits.
+    /// Abandons a record and returns whether it can still take effect. A ticket that is no longer
+    /// known, because its record was applied or dropped, gives MayBeWritten. Complexity: linear in
+    /// the number of waiting records.
     AbandonResult abandon(LogTicket ticket) { return m_queue.abandon(ticket); }
 
-    /// Asks for a reading up to the end; LogCaughtUp follows.
+    /// Requests a read up to the end of the log; LogCaughtUp follows.
     void refresh();
 
-    /// Permits to delete all segments below a number. Their records must have expired or stand
-    /// again in later ones, and each segment must have been there for far longer than the end of
-    /// the log is trusted. The last segment stays, so that numbers are never used twice.
+    /// Permits the deletion of all segments below a number. Their records must have expired or be
+    /// repeated in later segments, and each segment must have existed for far longer than the end
+    /// of the log is trusted. The last segment is kept, so that numbers are never reused.
     void trimBefore(SegmentNumber number);
 
-    /// Returns the command to carry out now, if any. Constant but for a segment's encoding.
+    /// Returns the command to execute now, if any. Complexity: constant, except for the encoding of
+    /// a segment.
     std::optional<LogCommand> next(Moment moment);
 
-    /// Takes the answer to the outstanding command. Linear in the answer.
+    /// Handles the answer to the outstanding command. Complexity: linear in the size of the answer.
     void onAnswer(const LogAnswer &answer, Moment moment);
 
-    /// Returns what happened since the last call, in order.
+    /// Returns the events since the last call, in order.
     std::vector<PlatformLogEvent> takeEvents();
 
-    /// Returns when next() may have something to do without any further event, or nothing.
+    /// Returns the time at which next() may have work without a further event, or nothing.
     std::optional<TimePoint> nextWake() const;
 
     void setWriteInterval(Duration interval) { m_settings.m_writeInterval = interval; }
 
     LogState state(TimePoint now) const;
-    /// Returns how long the platform's outage makes callers wait, zero if it is not out. Constant.
+    /// Returns the remaining delay until the unavailable platform is tried again, or zero if it is
+    /// available. Complexity: constant.
     Duration remainingBackoff(TimePoint now) const;
     bool hasOutstanding() const { return m_outstanding != Waiting::Nothing; }
-    /// Tells whether records wait, or a create is unsettled. Constant.
+    /// Returns whether records are waiting or a create is unsettled. Complexity: constant.
     bool hasWork() const { return m_queue.hasWaiting() || m_own.has_value(); }
-    /// The number that the next new segment gets, as far as is known.
+    /// Returns the number of the next new segment, as far as known.
     SegmentNumber nextNumber() const { return m_next; }
     const std::string &writer() const { return m_settings.m_writer; }
 
 private:
     enum class Waiting { Nothing, List, Read, Create, Delete };
 
-    /// What is still to be found out about a create of ours.
+    /// What must be verified about a create by this process.
     enum class Settling {
         Nothing,
-        ReadBack, ///< Its answer was lost.
-        ByList, ///< It took effect, but the end was seen too long ago.
-        ByNext, ///< As ByList, and a next segment exists, which names the one it follows.
+        ReadBack, ///< The answer was lost.
+        ByList, ///< It took effect, but the end of the log was seen too long ago.
+        ByNext, ///< Like ByList, with a next segment, which names its predecessor.
     };
 
-    /// A segment of our own on its way into the log, with the records of the queue's batch.
+    /// A segment of this process that is being written, with the records of the queue's batch.
     struct OwnSegment
     {
         std::int64_t m_batch = 0;
         std::string m_body;
         WallMillis m_writtenAt = 0;
-        /// A create of it may have taken effect, or may yet.
+        /// A create may have taken effect, or may still do so.
         bool m_inDoubt = false;
         Settling m_settling = Settling::Nothing;
     };
@@ -132,19 +137,19 @@
     std::optional<LogCommand> writeCommand(Moment moment);
     LogCommand send(Waiting waiting, LogCommand command, Moment moment);
     Settling settling() const;
-    bool isTrusted(Moment moment) const;
+    bool isEndTrusted(Moment moment) const;
     bool canTrim() const;
     bool mustRead() const;
     void confirmEnd(Moment moment);
     void verifyByList(const SegmentsListed &answer, Moment moment);
     void verifyByNext(const std::string &body, Moment moment);
-    void moveToListed();
-    void fillOwn(Moment moment);
+    void skipToListed();
+    void prepareOwn(Moment moment);
     std::string ownIdentity() const;
     void applyOwn();
-    void returnOwn();
+    void requeueOwn();
     void settleOwn(Moment moment);
-    void voidOwn();
+    void discardOwn();
     void backOff(Duration retryAfter, Moment moment);
     void reportCorrupt(std::string reason, Moment moment);
 
@@ -154,23 +159,23 @@
     std::int64_t m_lastBatch = 0;
 
     SegmentNumber m_next = 1;
-    /// Names segment m_next - 1, if that was read or written here.
+    /// Identity of segment m_next - 1, if it was read or written here.
     std::optional<std::string> m_previous;
     /// Segments from m_next on that are known to exist.
     std::set<SegmentNumber> m_listed;
     SegmentNumber m_lowest = 0;
     SegmentNumber m_trimBefore = 0;
-    /// A segment of our own that was created where a trimmed one had been.
+    /// A segment of this process that was created in place of a trimmed one.
     std::optional<SegmentNumber> m_stray;
     bool m_positioned = false;
     bool m_listNeeded = true;
     bool m_refresh = false;
     bool m_refreshSent = false;
-    /// A create met a segment at m_next.
+    /// A create found that segment m_next exists.
     bool m_conflict = false;
     bool m_corrupt = false;
-    /// When m_next was last known to be not trimmed away.
-    std::optional<Moment> m_endSeen;
+    /// When m_next was last known not to have been trimmed.
+    std::optional<Moment> m_endSeenAt;
 
     Waiting m_outstanding = Waiting::Nothing;
     Moment m_sentAt;
@@ -180,7 +185,7 @@
     std::vector<PlatformLogEvent> m_events;
 };
 
-/// Builds a log. Each function sets the setting of PlatformLogSettings that has its name.
+/// Builds a PlatformLog. Each function sets the setting of PlatformLogSettings with its name.
 class PlatformLogBuilder
 {
 public:
--- a/include/gypsumdale/ledger/preferred_node.hpp
+++ b/include/gypsumdale/ledger/preferred_node.hpp
@@ -7,9 +7,10 @@
 
 namespace gypsumdale {
 
-/// Returns the live node that claims of a shard are best sent to, so that claims of one interval
-/// share one write: the highest rendezvous hash. Nothing if there are no nodes. Safety does not
-/// rest on nodes agreeing. Linear.
+/// Returns the live node to which claims of a shard are preferably sent, so that the claims of one
+/// interval share a write: the one with the highest rendezvous hash. Returns nothing if there are
+/// no nodes. Safety does not depend on the nodes agreeing. Complexity: linear in the number of
+/// nodes.
 std::optional<NodeId> preferredNode(ShardNumber shard, std::span<const NodeId> live);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/ledger/record_queue.hpp
+++ b/include/gypsumdale/ledger/record_queue.hpp
@@ -10,24 +10,24 @@
 
 namespace gypsumdale {
 
-/// Tells whether an abandoned record can still take effect.
+/// Whether an abandoned record can still take effect.
 enum class AbandonResult {
-    NotWritten, ///< It never will.
-    MayBeWritten, ///< It may; RecordApplied or RecordDropped tells which, if it is ever learnt.
+    NotWritten, ///< It certainly cannot.
+    MayBeWritten, ///< It may; RecordApplied or RecordDropped follows if this is found out.
 };
 
-/// How much a queue of records takes.
+/// Size limits of a RecordQueue.
 struct RecordQueueLimits
 {
-    /// Bytes of the records of one batch.
+    /// Maximum bytes of the records of one batch.
     std::size_t m_maxBatchBytes = 0;
-    /// Bytes of one record.
+    /// Maximum bytes of one record.
     std::size_t m_maxRecordBytes = 0;
-    /// Bytes of all records that wait.
+    /// Maximum bytes of all waiting records.
     std::size_t m_maxWaitingBytes = 0;
 };
 
-/// A record on its way into a log.
+/// A record that is waiting or being written.
 struct QueuedRecord
 {
     LogTicket m_ticket = 0;
@@ -35,7 +35,7 @@
     bool m_abandoned = false;
 };
 
-/// Records that wait to be written to a log, and the batch of them that is being written.
+/// The records that wait to be written to a log, and the batch that is being written.
 class RecordQueue
 {
 public:
@@ -43,28 +43,31 @@
         : m_limits(limits)
     {}
 
-    /// Queues a record. Fails with RequestTooLarge for one above the limit and with QueueFull if
-    /// too much waits; then nothing is left behind.
+    /// Queues a record. Fails with RequestTooLarge if it is above the size limit, and with
+    /// QueueFull if too much is waiting; then nothing is queued.
     Result<LogTicket> append(std::string record);
 
-    /// Gives up on a record. One that waits is taken out; one of the batch is marked. Linear.
+    /// Abandons a record. A waiting one is removed; one in the batch is marked. Complexity: linear
+    /// in the number of waiting records and the batch.
     AbandonResult abandon(LogTicket ticket);
 
-    /// Tells whether records wait that are not in the batch. Constant.
+    /// Returns whether records outside the batch are waiting. Complexity: constant.
     bool hasWaiting() const { return !m_waiting.empty(); }
 
-    /// Moves the oldest records into the batch, which must be empty: at least one that waits, and
-    /// as many as the limit allows. Linear in the batch.
+    /// Moves the oldest waiting records into the batch, which must be empty: at least one, and as
+    /// many as the limit allows. At least one record must be waiting. Complexity: linear in the
+    /// batch.
     void fillBatch();
 
     /// Returns the batch in order.
     const std::vector<QueuedRecord> &batch() const { return m_batch; }
 
-    /// Takes the batch out, as it was written.
+    /// Removes and returns the batch after it was written.
     std::vector<QueuedRecord> takeBatch();
 
-    /// Puts the batch back before what waits, as it was not written, but for records given up on
-    /// meanwhile; returns the tickets of those, the last first. Linear in the batch.
+    /// Returns the batch to the front of the queue, as it was not written, without records
+    /// abandoned in the meantime. Returns the tickets of those, the last first. Complexity: linear
+    /// in the batch.
     std::vector<LogTicket> returnBatch();
 
 private:
--- a/src/ledger/claim_ledger.cpp
+++ b/src/ledger/claim_ledger.cpp
@@ -27,24 +27,24 @@
 
 ClaimTicket ClaimLedger::begin(const ClaimRequest &request, Moment moment)
 {
-    return claimHere(request, ClaimRole::Own, m_settings.m_node, moment);
+    return claimLocally(request, ClaimRole::Own, m_settings.m_node, moment);
 }
 
 ClaimTicket ClaimLedger::beginForPeer(const ClaimRequest &request, const NodeId &peer,
                                       Moment moment)
 {
-    return claimHere(request, ClaimRole::ForPeer, peer, moment);
+    return claimLocally(request, ClaimRole::ForPeer, peer, moment);
 }
 
-ClaimTicket ClaimLedger::claimHere(const ClaimRequest &request, ClaimRole role,
-                                   const NodeId &sender, Moment moment)
+ClaimTicket ClaimLedger::claimLocally(const ClaimRequest &request, ClaimRole role,
+                                      const NodeId &sender, Moment moment)
 {
     const ClaimTicket ticket = add(request, role, moment);
     if (ClaimAttempt *attempt = m_attempts->find(ticket)) {
         attempt->m_node = sender;
         tryClaim(*attempt, false, moment);
     }
-    m_attempts->forgetEnded();
+    m_attempts->removeEnded();
     return ticket;
 }
 
@@ -58,7 +58,7 @@
 
 ClaimTicket ClaimLedger::add(const ClaimRequest &request, ClaimRole role, Moment moment)
 {
-    // A request that was delivered twice: the first one decides.
+    // For a request that was delivered twice, the first delivery decides.
     if (m_attempts->find(request.m_attempt) != nullptr) {
         const ClaimTicket ticket = m_attempts->newTicket();
         m_events.emplace_back(ClaimDecided{ticket, InProgressOrUnknown{request.m_attempt}});
@@ -74,16 +74,16 @@
     ClaimShard &target = shard(attempt.m_shard);
     target.touch(moment.m_now);
     const ClaimEntry *entry = target.table().find(attempt.m_key);
-    if (entry == nullptr || !entry->m_standing)
+    if (entry == nullptr || !entry->m_validAttempt)
         return appendClaim(attempt, moment);
     const bool isFinal =
-            isFresh || entry->m_outcome || m_attempts->find(*entry->m_standing) != nullptr;
+            isFresh || entry->m_outcome || m_attempts->find(*entry->m_validAttempt) != nullptr;
     if (isFinal || entry->m_body != attempt.m_body)
         return decide(attempt, detail::resultOf(*entry, attempt.m_body));
     const Duration outage = target.log().remainingBackoff(moment.m_now);
     if (outage > Duration::zero())
         return decide(attempt, NotRun{NotRunReason::PlatformOut, outage});
-    // The attempt that stands may have ended since the log was last read.
+    // The attempt of the valid claim may have ended since the log was last read.
     attempt.m_state = ClaimState::Refreshing;
     target.log().refresh();
 }
@@ -127,26 +127,26 @@
         return decide(attempt, NotRun{NotRunReason::DeadlinePassed, {}});
     }
     decide(attempt, Granted{attempt.m_id});
-    // The peer is told, and only it may send: nothing is left to do here.
+    // Only the peer may send the attempt: nothing is left to do here.
     if (attempt.m_role == ClaimRole::ForPeer)
         attempt.m_state = ClaimState::Ended;
 }
 
-void ClaimLedger::giveUp(ClaimAttempt &attempt, const NotRun &result, Moment moment)
+void ClaimLedger::abandonAttempt(ClaimAttempt &attempt, const NotRun &result, Moment moment)
 {
     if (attempt.m_role == ClaimRole::Forwarded) {
-        // Failure: the reply to a forwarded claim is lost, and the claim may stand, or may yet. It
-        // shows as a key that is "unknown" until its retention ends. Only this node could send the
-        // attempt, and from here on it never does, so that it may say so in the log.
+        // Failure: the reply to a forwarded claim is lost, and the claim may be valid, now or
+        // later. Its key would show as "unknown" until the retention ends. As only this node could
+        // send the attempt and never will, it may record that in the log.
         appendNotRun(attempt, moment);
         return decide(attempt, result);
     }
-    const bool isGone =
+    const bool isNotWritten =
             !attempt.m_claim
             || shard(attempt.m_shard).log().abandon(*attempt.m_claim) == AbandonResult::NotWritten;
-    if (isGone && attempt.m_claim)
+    if (isNotWritten && attempt.m_claim)
         shard(attempt.m_shard).unlink(*attempt.m_claim);
-    attempt.m_state = isGone ? ClaimState::Ended : ClaimState::Dead;
+    attempt.m_state = isNotWritten ? ClaimState::Ended : ClaimState::Dead;
     decide(attempt, result);
 }
 
@@ -182,7 +182,7 @@
         grant(*attempt, moment);
     else
         decide(*attempt, result);
-    m_attempts->forgetEnded();
+    m_attempts->removeEnded();
 }
 
 void ClaimLedger::onForwardLost(ClaimTicket ticket, Moment moment)
@@ -190,10 +190,10 @@
     ClaimAttempt *attempt = m_attempts->find(ticket);
     if (attempt == nullptr || attempt->m_role != ClaimRole::Forwarded || !isWaiting(*attempt))
         return;
-    // Loads the shard, so that a claim by this node comes behind the record in the same log.
+    // Loads the shard, so that a later claim by this node follows the record in the same log.
     shard(attempt->m_shard);
-    giveUp(*attempt, NotRun{NotRunReason::PlatformOut, m_settings.m_retryAfter}, moment);
-    m_attempts->forgetEnded();
+    abandonAttempt(*attempt, NotRun{NotRunReason::PlatformOut, m_settings.m_retryAfter}, moment);
+    m_attempts->removeEnded();
 }
 
 bool ClaimLedger::start(const AttemptId &id, Moment moment)
@@ -201,15 +201,15 @@
     ClaimAttempt *attempt = m_attempts->find(id);
     if (attempt == nullptr || attempt->m_state != ClaimState::Granted)
         return false;
-    // Failure: the process was paused between its grant and this call. The caller was told by then
-    // that its deadline passed, and would see the request run after all.
+    // Failure: the process was paused between its grant and this call. The caller was informed that
+    // its deadline passed, and would see the request run after all.
     if (moment.m_now < attempt->m_deadline) {
         attempt->m_state = ClaimState::Started;
         return true;
     }
     appendNotRun(*attempt, moment);
     attempt->m_state = ClaimState::Ended;
-    m_attempts->forgetEnded();
+    m_attempts->removeEnded();
     return false;
 }
 
@@ -225,7 +225,7 @@
     const Outcome recorded = wasGranted ? Outcome::NotRun : outcome;
     recordOutcome(*attempt, recorded, answer, moment);
     attempt->m_state = ClaimState::Ended;
-    m_attempts->forgetEnded();
+    m_attempts->removeEnded();
 }
 
 Result<Done> ClaimLedger::appendForPeer(ShardNumber number, std::string_view bytes, Moment moment)
@@ -249,7 +249,7 @@
 
 std::optional<ShardCommand> ClaimLedger::next(Moment moment)
 {
-    // From behind the shard that was served last, so that none waits for ever.
+    // Starts after the shard that was served last, so that no shard starves.
     auto shardAt = m_loaded.upper_bound(m_lastServed);
     for (std::size_t seen = 0; seen < m_loaded.size(); ++seen) {
         if (shardAt == m_loaded.end())
@@ -278,15 +278,15 @@
     if (outage > Duration::zero())
         refuseWaiting(number, NotRun{NotRunReason::PlatformOut, outage}, moment);
     target.maintain(moment);
-    m_attempts->forgetEnded();
+    m_attempts->removeEnded();
 }
 
 void ClaimLedger::handle(ShardNumber number, const RecordApplied &event, Moment moment)
 {
     ClaimShard &target = *m_loaded.at(number);
-    const Result<bool> stands = target.apply(event, moment);
-    if (!succeeded(stands)) {
-        reportTrouble(number, LogCorrupt{event.m_number, errorOf(stands).m_text});
+    const Result<bool> isValid = target.apply(event, moment);
+    if (!succeeded(isValid)) {
+        reportProblem(number, LogCorrupt{event.m_number, errorOf(isValid).m_text});
         return refuseWaiting(number, NotRun{NotRunReason::LogCorrupt, m_settings.m_retryAfter},
                              moment);
     }
@@ -297,26 +297,26 @@
         return;
     ClaimAttempt *attempt = m_attempts->find(*id);
     if (attempt != nullptr && attempt->m_claim == event.m_ticket)
-        return claimApplied(*attempt, valueOf(stands), moment);
+        return claimApplied(*attempt, valueOf(isValid), moment);
     m_events.emplace_back(OutcomeRecorded{*id});
 }
 
-void ClaimLedger::claimApplied(ClaimAttempt &attempt, bool stands, Moment moment)
+void ClaimLedger::claimApplied(ClaimAttempt &attempt, bool isValid, Moment moment)
 {
     attempt.m_claim.reset();
     if (attempt.m_state == ClaimState::Dead) {
-        // The caller was told "not run" while the claim was under way; nobody else can know that.
-        if (stands)
+        // The caller got NotRun while the claim was on its way, which no other node can know.
+        if (isValid)
             appendNotRun(attempt, moment);
         attempt.m_state = ClaimState::Ended;
         return;
     }
     if (attempt.m_state != ClaimState::Claiming)
         return;
-    if (stands)
+    if (isValid)
         return grant(attempt, moment);
     const ClaimEntry *entry = shard(attempt.m_shard).table().find(attempt.m_key);
-    if (entry != nullptr && entry->m_standing)
+    if (entry != nullptr && entry->m_validAttempt)
         return decide(attempt, detail::resultOf(*entry, attempt.m_body));
     decide(attempt, NotRun{NotRunReason::DeadlinePassed, m_settings.m_retryAfter});
 }
@@ -339,24 +339,24 @@
 
 void ClaimLedger::handle(ShardNumber number, const LogGap &event, Moment)
 {
-    reportTrouble(number, event);
+    reportProblem(number, event);
 }
 
 void ClaimLedger::handle(ShardNumber number, const LogStray &event, Moment)
 {
-    reportTrouble(number, event);
+    reportProblem(number, event);
 }
 
 void ClaimLedger::handle(ShardNumber number, const LogCorrupt &event, Moment moment)
 {
-    reportTrouble(number, event);
+    reportProblem(number, event);
     refuseWaiting(number, NotRun{NotRunReason::LogCorrupt, m_settings.m_retryAfter}, moment);
 }
 
-template <typename Trouble>
-void ClaimLedger::reportTrouble(ShardNumber number, const Trouble &trouble)
+template <typename Problem>
+void ClaimLedger::reportProblem(ShardNumber number, const Problem &problem)
 {
-    m_events.emplace_back(ShardProblem{number, trouble});
+    m_events.emplace_back(ShardProblem{number, problem});
 }
 
 void ClaimLedger::refuseWaiting(ShardNumber number, const NotRun &result, Moment moment)
@@ -364,7 +364,7 @@
     for (const auto &[id, attempt] : *m_attempts) {
         const bool isHere = attempt->m_shard == number && attempt->m_role != ClaimRole::Forwarded;
         if (isHere && isWaiting(*attempt))
-            giveUp(*attempt, result, moment);
+            abandonAttempt(*attempt, result, moment);
     }
 }
 
@@ -373,18 +373,18 @@
     expireAttempts(moment);
     for (const auto &[number, loaded] : m_loaded)
         loaded->maintain(moment);
-    m_attempts->forgetEnded();
+    m_attempts->removeEnded();
     dropIdleShards(moment);
 }
 
 void ClaimLedger::expireAttempts(Moment moment)
 {
     for (const auto &[id, attempt] : *m_attempts) {
-        if (isWaiting(*attempt) && moment.m_now >= attempt->m_giveUpAt) {
+        if (isWaiting(*attempt) && moment.m_now >= attempt->m_claimDeadline) {
             const bool isLate = moment.m_now >= attempt->m_deadline;
             const NotRunReason reason =
                     isLate ? NotRunReason::DeadlinePassed : NotRunReason::PlatformOut;
-            giveUp(*attempt, NotRun{reason, m_settings.m_retryAfter}, moment);
+            abandonAttempt(*attempt, NotRun{reason, m_settings.m_retryAfter}, moment);
             continue;
         }
         if (attempt->m_state == ClaimState::Granted && moment.m_now >= attempt->m_deadline) {
--- a/src/ledger/detail/claim_attempts.cpp
+++ b/src/ledger/detail/claim_attempts.cpp
@@ -27,7 +27,7 @@
     return found == m_attempts.end() ? nullptr : found->second.get();
 }
 
-void ClaimAttempts::forgetEnded()
+void ClaimAttempts::removeEnded()
 {
     std::erase_if(m_attempts,
                   [](const auto &attempt) { return attempt.second->m_state == ClaimState::Ended; });
@@ -47,7 +47,7 @@
     };
     for (const auto &[id, attempt] : m_attempts) {
         if (isWaiting(*attempt))
-            consider(attempt->m_giveUpAt);
+            consider(attempt->m_claimDeadline);
         if (attempt->m_state == ClaimState::Granted)
             consider(attempt->m_deadline);
     }
@@ -61,7 +61,7 @@
 
 ShardNumber shardOfDigest(const Digest &key, ShardNumber shards)
 {
-    // The end of the digest: its start places the key in the tables.
+    // Uses the end of the digest, as the hash tables use its start.
     std::uint64_t tail = 0;
     std::memcpy(&tail, key.data() + key.size() - sizeof(tail), sizeof(tail));
     return static_cast<ShardNumber>(tail % shards);
@@ -78,7 +78,7 @@
     attempt.m_body = request.m_bodyDigest;
     attempt.m_shard = shardOfDigest(attempt.m_key, settings.m_shards);
     attempt.m_deadline = request.m_deadline;
-    attempt.m_giveUpAt = std::min(request.m_deadline, moment.m_now + settings.m_claimTimeout);
+    attempt.m_claimDeadline = std::min(request.m_deadline, moment.m_now + settings.m_claimTimeout);
     return attempt;
 }
 
--- a/src/ledger/detail/claim_records.cpp
+++ b/src/ledger/detail/claim_records.cpp
@@ -107,7 +107,7 @@
     const bool isRestated = record.__isset.restated && toDigest(record.restated.key)
                             && toDigest(record.restated.body);
     if (int(isClaim) + int(isOutcome) + int(isRestated) != 1)
-        return Error{ErrorId::PeerMalformed, "not one whole record of the ledger"};
+        return Error{ErrorId::PeerMalformed, "not exactly one complete record of the ledger"};
     return decoded;
 }
 
--- a/src/ledger/detail/claim_records.hpp
+++ b/src/ledger/detail/claim_records.hpp
@@ -13,18 +13,19 @@
 
 namespace gypsumdale::detail {
 
-/// Returns a digest as the bytes of a record.
+/// Returns the bytes of a digest for a record.
 std::string toBytes(const Digest &digest);
 
-/// Reads a digest, or nothing if the length is wrong.
+/// Reads a digest, or returns nothing if the length is wrong.
 std::optional<Digest> toDigest(std::string_view bytes);
 
 wire::WireOutcome::type toWire(Outcome outcome);
 Outcome fromWire(wire::WireOutcome::type outcome);
 
-/// The records of an attempt, which all nodes forget at the expiry.
+/// Returns the claim record of an attempt, which all nodes discard at the expiry.
 wire::ClaimRecord claimRecord(const ClaimAttempt &attempt, WallMillis expiry);
-/// The answer is kept in it unless its body is larger than a record takes.
+/// Returns the outcome record of an attempt. Contains the answer unless its body exceeds
+/// `maxAnswerBytes`.
 wire::OutcomeRecord outcomeRecord(const ClaimAttempt &attempt, Outcome outcome,
                                   const StoredAnswer &answer, std::size_t maxAnswerBytes,
                                   WallMillis expiry);
@@ -33,8 +34,8 @@
 std::string encodeRecord(const wire::OutcomeRecord &outcome);
 std::string encodeRecord(const wire::RestatedRecord &restated);
 
-/// Reads a record. Fails with PeerMalformed if it is none, or not exactly one whole claim, outcome
-/// or restatement.
+/// Decodes a record. Fails with PeerMalformed unless it is exactly one complete claim, outcome or
+/// restated claim.
 Result<wire::LedgerRecord> decodeRecord(std::string_view bytes);
 
 } // namespace gypsumdale::detail
--- a/src/ledger/detail/claim_shard.cpp
+++ b/src/ledger/detail/claim_shard.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Bytes of restated keys that wait in the log at a time, so that claims don't wait long behind
-/// them.
-constexpr std::size_t restateBytes = std::size_t{64} * 1024;
+/// Maximum bytes of restated keys that wait in the log at a time, so that claims don't wait long
+/// behind them.
+constexpr std::size_t maxPendingRestateBytes = std::size_t{64} * 1024;
 
-/// A restatement is due when the rest of the log is this many times as long.
+/// A compaction is due when the rest of the log is this many times as long as the last restatement.
 constexpr std::size_t compactionFactor = 4;
 
 PlatformLog makeLog(const ClaimLedgerSettings &settings)
@@ -43,7 +43,7 @@
 
 Result<bool> ClaimShard::apply(const RecordApplied &event, Moment moment)
 {
-    noteSegment(event, moment);
+    recordSegment(event, moment);
     const Result<wire::LedgerRecord> decoded = decodeRecord(event.m_record);
     if (!succeeded(decoded)) {
         m_unusable = true;
@@ -61,7 +61,7 @@
     return false;
 }
 
-void ClaimShard::noteSegment(const RecordApplied &event, Moment moment)
+void ClaimShard::recordSegment(const RecordApplied &event, Moment moment)
 {
     if (event.m_ticket)
         m_lastOwn = event.m_number;
@@ -84,18 +84,18 @@
 
 void ClaimShard::startCompaction()
 {
-    // Only who writes the shard restates it: others would do it once more.
+    // Only the node that writes to the shard restates its keys; other nodes would repeat the work.
     const bool isWriter = m_lastOwn != 0 && m_lastOwn + 1 == m_log.nextNumber();
     const SegmentNumber first =
-            std::max(m_covered + 1, m_seen.empty() ? 1 : m_seen.front().m_number);
+            std::max(m_restatedUpTo + 1, m_seen.empty() ? 1 : m_seen.front().m_number);
     const std::size_t length = m_log.nextNumber() - std::min(first, m_log.nextNumber());
     const std::size_t limit =
             std::max(m_compactionThreshold, compactionFactor * m_restatedSegments);
     if (!isWriter || length <= limit)
         return;
-    // What is restated from now on is known up to here; the segments behind stay and are read after
-    // it by whoever starts there, so that nothing between is lost.
-    m_compaction = Compaction{m_log.nextNumber() - 1, m_table.standingKeys(), {}};
+    // The restated keys cover the segments up to here. Later segments are kept and are read by a
+    // reader that starts with the restated segments, so that nothing in between is lost.
+    m_compaction = Compaction{m_log.nextNumber() - 1, m_table.claimedKeys(), {}};
     continueCompaction();
 }
 
@@ -104,7 +104,7 @@
     if (!m_compaction->m_waiting.empty())
         return;
     std::size_t bytes = 0;
-    while (!m_compaction->m_keys.empty() && bytes < restateBytes) {
+    while (!m_compaction->m_keys.empty() && bytes < maxPendingRestateBytes) {
         const Digest key = m_compaction->m_keys.back();
         m_compaction->m_keys.pop_back();
         const std::optional<wire::RestatedRecord> restated = m_table.restate(key);
@@ -122,16 +122,16 @@
     }
     if (!m_compaction->m_waiting.empty())
         return;
-    m_restatedSegments = m_log.nextNumber() - 1 - m_compaction->m_covers;
-    m_covered = m_compaction->m_covers;
+    m_restatedSegments = m_log.nextNumber() - 1 - m_compaction->m_lastSegment;
+    m_restatedUpTo = m_compaction->m_lastSegment;
     m_compaction.reset();
 }
 
 void ClaimShard::permitTrimming(Moment moment)
 {
-    const SegmentNumber live = m_table.forgetExpired(moment.m_wall);
+    const SegmentNumber live = m_table.removeExpired(moment.m_wall);
     const SegmentNumber expired = live == 0 ? m_log.nextNumber() : live;
-    const SegmentNumber unneeded = std::max(expired, m_covered + 1);
+    const SegmentNumber unneeded = std::max(expired, m_restatedUpTo + 1);
     while (!m_seen.empty() && m_seen.front().m_number < unneeded
            && moment.m_now - m_seen.front().m_at >= m_trimDelay) {
         m_log.trimBefore(m_seen.front().m_number + 1);
--- a/src/ledger/detail/claim_shard.hpp
+++ b/src/ledger/detail/claim_shard.hpp
@@ -14,7 +14,7 @@
 
 namespace gypsumdale::detail {
 
-/// One shard of the claims: its log, the state replayed from it, and the care for its length.
+/// One shard of the claims: its log, the state replayed from it, and its compaction.
 class ClaimShard
 {
 public:
@@ -24,21 +24,21 @@
     const PlatformLog &log() const { return m_log; }
     const ClaimTable &table() const { return m_table; }
 
-    /// Remembers which attempt a record in the log is about.
+    /// Links a record that is being appended to its attempt.
     void link(LogTicket ticket, const AttemptId &attempt) { m_links[ticket] = attempt; }
 
-    /// Returns the attempt that a record is about and forgets the link.
+    /// Removes the link of a record and returns its attempt.
     std::optional<AttemptId> unlink(LogTicket ticket);
 
-    /// Applies a record of the log; for a claim, tells whether it stands. Fails with PeerMalformed
-    /// on bytes that this version can't read; the shard is not usable from then on.
+    /// Applies a record of the log; for a claim, returns whether it is valid. Fails with
+    /// PeerMalformed on bytes that this version can't decode; the shard is unusable from then on.
     Result<bool> apply(const RecordApplied &event, Moment moment);
 
-    /// Restates keys, permits trimming, forgets expired keys.
+    /// Restates keys, permits trimming and removes expired keys.
     void maintain(Moment moment);
 
-    /// A record could not be read, so that claims may be missing from the table. Nothing is granted
-    /// then; a process that knows the record must serve the shard.
+    /// Returns whether a record could not be decoded, so that claims may be missing in the table.
+    /// Nothing is granted then; a process whose version knows the record must serve the shard.
     bool isUnusable() const { return m_unusable; }
 
     void touch(TimePoint now) { m_lastUse = now; }
@@ -51,16 +51,16 @@
         TimePoint m_at;
     };
 
-    /// Keys on their way into new segments.
+    /// Keys that are being restated in new segments.
     struct Compaction
     {
-        /// All up to this segment can go when it is done.
-        SegmentNumber m_covers = 0;
+        /// Segments up to this one can be deleted when the compaction is complete.
+        SegmentNumber m_lastSegment = 0;
         std::vector<Digest> m_keys;
         std::set<LogTicket> m_waiting;
     };
 
-    void noteSegment(const RecordApplied &event, Moment moment);
+    void recordSegment(const RecordApplied &event, Moment moment);
     void startCompaction();
     void continueCompaction();
     void permitTrimming(Moment moment);
@@ -73,8 +73,8 @@
     std::deque<SeenSegment> m_seen;
     std::optional<Compaction> m_compaction;
     /// Segments up to this one are restated in later ones.
-    SegmentNumber m_covered = 0;
-    /// Segments that the last restatement took.
+    SegmentNumber m_restatedUpTo = 0;
+    /// Number of segments of the last restatement.
     std::size_t m_restatedSegments = 0;
     SegmentNumber m_lastOwn = 0;
     TimePoint m_lastUse;
--- a/src/ledger/detail/claim_table.cpp
+++ b/src/ledger/detail/claim_table.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Attempts of one key that are remembered as dead; one that is not remembered could only
-/// block its key, if its claim came late.
+/// Maximum number of attempts per key that are remembered as dead. A forgotten one could at worst
+/// block its key, if its claim arrived late.
 constexpr std::size_t maxDeadAttempts = 64;
 
-/// Bytes of an answer that a restatement still carries.
+/// Maximum bytes of an answer in a restated record.
 constexpr std::size_t maxRestatedAnswer = 512;
 
 bool isDead(const ClaimEntry &entry, const AttemptId &attempt)
@@ -37,7 +37,7 @@
 void ClaimTable::beginSegment(SegmentNumber number, WallMillis writtenAt, WallMillis wall)
 {
     m_logTime = std::max(m_logTime, writtenAt);
-    forgetExpired(wall);
+    removeExpired(wall);
     m_segments.push_back({number, 0});
 }
 
@@ -45,11 +45,11 @@
 {
     ClaimEntry &entry = touch(*toDigest(claim.key), claim.expiry);
     const AttemptId attempt(claim.attempt);
-    if (entry.m_standing)
-        return *entry.m_standing == attempt;
+    if (entry.m_validAttempt)
+        return *entry.m_validAttempt == attempt;
     if (isDead(entry, attempt))
         return false;
-    entry.m_standing = attempt;
+    entry.m_validAttempt = attempt;
     entry.m_body = *toDigest(claim.body);
     return true;
 }
@@ -59,17 +59,17 @@
     ClaimEntry &entry = touch(*toDigest(outcome.key), outcome.expiry);
     const AttemptId attempt(outcome.attempt);
     const Outcome what = fromWire(outcome.outcome);
-    const bool stands = entry.m_standing == attempt;
-    if (what == Outcome::NotRun && stands && entry.m_outcome)
+    const bool isValid = entry.m_validAttempt == attempt;
+    if (what == Outcome::NotRun && isValid && entry.m_outcome)
         return;
     if (what == Outcome::NotRun) {
-        if (stands)
-            entry.m_standing.reset();
+        if (isValid)
+            entry.m_validAttempt.reset();
         if (entry.m_dead.size() < maxDeadAttempts)
             entry.m_dead.push_back(attempt);
         return;
     }
-    if (!stands || entry.m_outcome == Outcome::Done)
+    if (!isValid || entry.m_outcome == Outcome::Done)
         return;
     entry.m_outcome = what;
     keepAnswer(entry, outcome);
@@ -77,16 +77,16 @@
 
 void ClaimTable::apply(const wire::RestatedRecord &restated)
 {
-    // It may have waited until the key had been forgotten and claimed anew.
+    // The record may have waited until the key had expired and was claimed again.
     if (restated.expiry + m_tolerance < m_logTime)
         return;
     ClaimEntry &entry = touch(*toDigest(restated.key), restated.expiry);
     const AttemptId attempt(restated.attempt);
-    if (entry.m_standing == attempt && (entry.m_outcome || !restated.hasOutcome))
+    if (entry.m_validAttempt == attempt && (entry.m_outcome || !restated.hasOutcome))
         return;
     if (isDead(entry, attempt))
         return;
-    entry.m_standing = attempt;
+    entry.m_validAttempt = attempt;
     entry.m_body = *toDigest(restated.body);
     entry.m_outcome.reset();
     dropAnswer(entry);
@@ -96,11 +96,11 @@
     keepAnswer(entry, restated);
 }
 
-std::vector<Digest> ClaimTable::standingKeys() const
+std::vector<Digest> ClaimTable::claimedKeys() const
 {
     std::vector<Digest> keys;
     for (const auto &[key, entry] : m_entries) {
-        if (entry.m_standing)
+        if (entry.m_validAttempt)
             keys.push_back(key);
     }
     return keys;
@@ -109,12 +109,12 @@
 std::optional<wire::RestatedRecord> ClaimTable::restate(const Digest &key) const
 {
     const ClaimEntry *entry = find(key);
-    if (entry == nullptr || !entry->m_standing)
+    if (entry == nullptr || !entry->m_validAttempt)
         return std::nullopt;
     wire::RestatedRecord record;
     record.key = toBytes(key);
     record.body = toBytes(entry->m_body);
-    record.attempt = entry->m_standing->text();
+    record.attempt = entry->m_validAttempt->text();
     record.hasOutcome = entry->m_outcome.has_value();
     record.outcome = toWire(entry->m_outcome.value_or(Outcome::Unknown));
     record.status = entry->m_answer.m_status;
@@ -170,7 +170,7 @@
     return expiry + m_tolerance < std::min(m_logTime, wall);
 }
 
-SegmentNumber ClaimTable::forgetExpired(WallMillis wall)
+SegmentNumber ClaimTable::removeExpired(WallMillis wall)
 {
     while (!m_expiries.empty() && isExpired(m_expiries.front().m_expiry, wall)) {
         const KeyExpiry oldest = m_expiries.front();
@@ -191,8 +191,8 @@
     if (entry.m_body != body)
         return KeyReused{};
     if (entry.m_outcome == Outcome::Done)
-        return AlreadyDone{*entry.m_standing, entry.m_answer};
-    return InProgressOrUnknown{*entry.m_standing};
+        return AlreadyDone{*entry.m_validAttempt, entry.m_answer};
+    return InProgressOrUnknown{*entry.m_validAttempt};
 }
 
 } // namespace gypsumdale::detail
--- a/src/ledger/detail/claim_table.hpp
+++ b/src/ledger/detail/claim_table.hpp
@@ -12,57 +12,57 @@
 
 namespace gypsumdale::detail {
 
-/// What the log says of one key.
+/// The state of one key in the log.
 struct ClaimEntry
 {
     Digest m_body{};
-    /// The attempt whose claim stands, or nothing after it turned out not to have run.
-    std::optional<AttemptId> m_standing;
+    /// The attempt of the valid claim, or nothing after it was found not to have run.
+    std::optional<AttemptId> m_validAttempt;
     std::optional<Outcome> m_outcome;
     StoredAnswer m_answer;
-    /// Attempts that will never run; a claim of theirs that comes later does not stand.
+    /// Attempts that will never run; a later claim of theirs is not valid.
     std::vector<AttemptId> m_dead;
     WallMillis m_expiry = 0;
 };
 
-/// The state of one shard as the replay of its log gives it. The same log gives the same state at
-/// every reader, but for when keys are forgotten.
+/// The state of one shard as replayed from its log. The same log gives the same state at every
+/// reader, except for the time at which keys are discarded.
 ///
-/// A key is forgotten only when both the latest time in the log and the reader's own clock are past
-/// its expiry by the tolerance, and every claim of it, even one that lost, moves the expiry on. So
-/// two readers that disagree on the time can't both see the key free: the later one finds the
-/// other's claim, whose expiry is a whole retention ahead.
+/// A key is discarded only when both the latest time in the log and the reader's own clock are past
+/// its expiry by the tolerance, and every claim of the key, even one that is not valid, extends the
+/// expiry. Two readers that disagree on the time therefore can't both see the key as free: the
+/// later one finds the claim of the other, whose expiry is a full retention ahead.
 class ClaimTable
 {
 public:
     ClaimTable(Duration tolerance, std::size_t maxAnswerBytes);
 
-    /// Takes note of a segment whose records follow.
+    /// Begins a segment, whose records follow.
     void beginSegment(SegmentNumber number, WallMillis writtenAt, WallMillis wall);
 
-    /// Applies a claim and tells whether it stands.
+    /// Applies a claim and returns whether it is valid.
     bool apply(const wire::ClaimRecord &claim);
 
     void apply(const wire::OutcomeRecord &outcome);
 
-    /// Applies what another reader knew of a key at an earlier place of the log. For a reader of
-    /// the whole log it says nothing new. For one that starts behind the restated segments, the
-    /// restated attempt came before every claim it has seen, so that it stands in their place,
-    /// unless it was seen to be dead since.
+    /// Applies what another reader knew of a key at an earlier position of the log. For a reader of
+    /// the full log it contains nothing new. For a reader that starts with the restated segments,
+    /// the restated attempt came before every claim that it has read, so that it takes precedence
+    /// over them, unless it was since found to be dead.
     void apply(const wire::RestatedRecord &restated);
 
-    /// Returns the keys that must be restated before older segments can go.
-    std::vector<Digest> standingKeys() const;
+    /// Returns the keys that must be restated before older segments can be deleted.
+    std::vector<Digest> claimedKeys() const;
 
-    /// Returns the restatement of a key, or nothing if no attempt of it stands any more.
+    /// Returns the restated record of a key, or nothing if it has no valid attempt any more.
     std::optional<wire::RestatedRecord> restate(const Digest &key) const;
 
-    /// Returns what is known of a key, or null.
+    /// Returns the state of a key, or null.
     const ClaimEntry *find(const Digest &key) const;
 
-    /// Forgets expired keys; returns the first segment with a record that has not expired. Constant
-    /// but for what is forgotten.
-    SegmentNumber forgetExpired(WallMillis wall);
+    /// Removes expired keys and returns the first segment with a record that has not expired.
+    /// Complexity: linear in the number of removed keys.
+    SegmentNumber removeExpired(WallMillis wall);
 
     std::size_t size() const { return m_entries.size(); }
 
@@ -99,7 +99,7 @@
     std::deque<KeyExpiry> m_expiries;
 };
 
-/// The answer to a request whose key is taken by the entry's standing attempt.
+/// Returns the result for a request whose key belongs to the entry's valid attempt.
 ClaimResult resultOf(const ClaimEntry &entry, const Digest &body);
 
 } // namespace gypsumdale::detail
--- a/src/ledger/detail/log_segment.hpp
+++ b/src/ledger/detail/log_segment.hpp
@@ -9,13 +9,13 @@
 
 namespace gypsumdale::detail {
 
-/// Sets the checksum and writes the segment. Linear.
+/// Sets the checksum and encodes the segment. Complexity: linear.
 std::string encodeSegment(wire::LogSegment &segment);
 
-/// Reads a segment and checks its checksum; fails with PeerMalformed. Linear.
+/// Decodes a segment and verifies its checksum; fails with PeerMalformed. Complexity: linear.
 Result<wire::LogSegment> decodeSegment(std::string_view body);
 
-/// Names a segment for the one that follows it.
+/// Returns the identity by which the next segment names this one.
 std::string segmentIdentity(const wire::LogSegment &segment);
 
 } // namespace gypsumdale::detail
--- a/src/ledger/order_lease.cpp
+++ b/src/ledger/order_lease.cpp
@@ -20,14 +20,14 @@
 
 std::optional<LeaseCommand> OrderLease::next(TimePoint now)
 {
-    if (m_outstanding != Waiting::Nothing || now < m_nextTry)
+    if (m_outstanding != Waiting::Nothing || now < m_nextAttemptAt)
         return std::nullopt;
     m_sentAt = now;
     if (m_readNeeded) {
         m_outstanding = Waiting::Read;
         return ReadLease{};
     }
-    // An operator may have removed the object under a holder, which goes on until its lease ends.
+    // An operator may have removed the object of a holder, whose lease lasts until its end.
     if (m_missingSince && now - *m_missingSince >= m_settings.m_duration) {
         m_outstanding = Waiting::Write;
         return CreateLease{bodyToWrite(false)};
@@ -35,7 +35,7 @@
     const bool isOwn = m_held.has_value();
     if (m_releasing && !isOwn)
         return std::nullopt;
-    if (!m_seen || (!isOwn && !m_unsettled && !mayTake(now))) {
+    if (!m_seen || (!isOwn && !m_unsettled && !canTakeOver(now))) {
         m_outstanding = Waiting::Read;
         return ReadLease{};
     }
@@ -56,13 +56,13 @@
                        [this, now](const LeaseMissing &) { onMissing(now); },
                        [this](const LeaseWritten &written) { onWritten(written.m_version); },
                        [this](const LeaseConflict &) {
-                           // Either another's write, or an earlier one of ours whose answer was
-                           // lost: the body tells.
+                           // Either the write of another process, or an earlier own write whose
+                           // answer was lost; the body shows which.
                            m_readNeeded = true;
                        },
                        [this, now](const LeaseAnswerLost &lost) {
                            m_readNeeded = true;
-                           m_nextTry = now + std::max(lost.m_retryAfter, retryInterval);
+                           m_nextAttemptAt = now + std::max(lost.m_retryAfter, retryInterval);
                        },
                },
                answer);
@@ -72,7 +72,7 @@
 {
     m_readNeeded = false;
     m_missingSince.reset();
-    m_nextTry = now + m_settings.m_readInterval;
+    m_nextAttemptAt = now + m_settings.m_readInterval;
     if (m_seen && m_seen->m_version == version)
         return onUnchanged(now);
     const Result<wire::OrderLeaseBody> decoded = wire::decode<wire::OrderLeaseBody>(body);
@@ -90,16 +90,16 @@
         return onWritten(version);
     m_unsettled.reset();
     m_held.reset();
-    if (mayTake(now))
-        m_nextTry = now;
+    if (canTakeOver(now))
+        m_nextAttemptAt = now;
 }
 
 void OrderLease::onUnchanged(TimePoint now)
 {
-    // A write of ours did not take effect, or not yet. It is sent again with the same version and
-    // body, so that only one of the two can.
+    // An own write did not take effect, or not yet. It is sent again with the same version and
+    // body, so that only one of the two can take effect.
     if (m_unsettled)
-        m_nextTry = now;
+        m_nextAttemptAt = now;
     const bool isOwn = m_seen->m_holder == m_settings.m_holder && !m_seen->m_released;
     if (isOwn)
         m_held = m_seen->m_version;
@@ -108,7 +108,7 @@
 void OrderLease::onMissing(TimePoint now)
 {
     m_readNeeded = false;
-    m_nextTry = now + m_settings.m_readInterval;
+    m_nextAttemptAt = now + m_settings.m_readInterval;
     if (!m_missingSince)
         m_missingSince = now;
     m_held.reset();
@@ -120,32 +120,33 @@
     m_unsettled.reset();
     m_missingSince.reset();
     m_seen = Seen{version, m_settings.m_holder, m_settings.m_duration, m_releasing, m_writtenAt};
-    m_nextTry = m_writtenAt + m_settings.m_renewInterval;
+    m_nextAttemptAt = m_writtenAt + m_settings.m_renewInterval;
     if (m_releasing) {
         m_held.reset();
         return;
     }
-    // As long as the version stayed ours, nobody else ordered in between.
+    // While the version remained that of this process, nobody else ordered in between.
     if (!m_held)
-        m_takenAt = m_writtenAt;
+        m_takenOverAt = m_writtenAt;
     m_held = version;
-    m_heldFrom = m_writtenAt;
+    m_heldSince = m_writtenAt;
 }
 
 std::optional<FencingNumber> OrderLease::fence(TimePoint now) const
 {
     if (!m_held || m_releasing)
         return std::nullopt;
-    // Failure: the process was paused since its last renewal, its lease lapsed and another took it.
-    // It shows as orders of two orderers at one engine. The time is that of this very call.
-    if (now >= m_heldFrom + m_settings.m_duration - m_settings.m_margin)
+    // Failure: the process was paused since its last renewal, its lease expired and another process
+    // took it over. An engine would get orders from two orderers. `now` must be the time of this
+    // call.
+    if (now >= m_heldSince + m_settings.m_duration - m_settings.m_margin)
         return std::nullopt;
     return m_held;
 }
 
 std::optional<FencingNumber> OrderLease::fenceForUncheckedEngine(TimePoint now) const
 {
-    if (now < m_takenAt + m_settings.m_longestPause)
+    if (now < m_takenOverAt + m_settings.m_longestPause)
         return std::nullopt;
     return fence(now);
 }
@@ -154,13 +155,13 @@
 {
     m_held.reset();
     m_readNeeded = true;
-    m_nextTry = TimePoint::min();
+    m_nextAttemptAt = TimePoint::min();
 }
 
 void OrderLease::release()
 {
     m_releasing = true;
-    m_nextTry = TimePoint::min();
+    m_nextAttemptAt = TimePoint::min();
 }
 
 std::optional<TimePoint> OrderLease::nextWake() const
@@ -168,14 +169,14 @@
     const bool isDone = m_releasing && !m_held && !m_readNeeded;
     if (m_outstanding != Waiting::Nothing || isDone)
         return std::nullopt;
-    return m_nextTry;
+    return m_nextAttemptAt;
 }
 
-bool OrderLease::mayTake(TimePoint now) const
+bool OrderLease::canTakeOver(TimePoint now) const
 {
     if (!m_seen)
         return false;
-    // Released: the old holder said that it will not order again.
+    // A released lease is free at once, as the old holder never orders again.
     return m_seen->m_released || now - m_seen->m_since >= m_seen->m_duration;
 }
 
@@ -183,8 +184,8 @@
 {
     if (m_unsettled && !released)
         return *m_unsettled;
-    // The lease counts from the first sending: whenever the write takes effect, others see it later
-    // and wait longer than its holder acts.
+    // The lease starts when the write is first sent: whenever the write takes effect, others see it
+    // later and wait for longer than the holder acts.
     m_writtenAt = m_sentAt;
     wire::OrderLeaseBody body;
     body.holder = m_settings.m_holder;
--- a/src/ledger/platform_log.cpp
+++ b/src/ledger/platform_log.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr Duration firstRetry = std::chrono::milliseconds(250);
-constexpr Duration lastRetry = std::chrono::seconds(8);
+constexpr Duration minRetryDelay = std::chrono::milliseconds(250);
+constexpr Duration maxRetryDelay = std::chrono::seconds(8);
 constexpr int maxDoublings = 5;
 
-/// Tells whether a time of day lies within a span around another. Either clock may have been set.
+/// Returns whether two times of the wall clock are less than `span` apart, in either order, as the
+/// clock may have been set.
 bool isWithin(WallMillis from, WallMillis to, Duration span)
 {
     const WallMillis limit = std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
@@ -59,10 +60,10 @@
 
 std::optional<LogCommand> PlatformLog::readCommand(Moment moment)
 {
-    // Failure: a log that was not looked at for longer than segments are kept finds its next number
-    // free, because that segment was trimmed, and takes it for the end. It shows as a claim that
-    // ignores all later ones. Listing the names first shows where the log really goes on.
-    if (!isTrusted(moment) && settling() != Settling::ByNext && m_listed.empty())
+    // Failure: a log that was not read for longer than segments are kept finds its next number
+    // free, because that segment was trimmed, and mistakes it for the end. A claim appended there
+    // would ignore all later ones. Listing the names first shows where the log really continues.
+    if (!isEndTrusted(moment) && settling() != Settling::ByNext && m_listed.empty())
         return send(Waiting::List, ListSegments{}, moment);
     if (m_refresh) {
         m_refresh = false;
@@ -74,12 +75,12 @@
 
 std::optional<LogCommand> PlatformLog::writeCommand(Moment moment)
 {
-    if (!isTrusted(moment))
+    if (!isEndTrusted(moment))
         return send(Waiting::List, ListSegments{}, moment);
     if (m_lastCreate && moment.m_now < *m_lastCreate + m_settings.m_writeInterval)
         return std::nullopt;
     if (!m_own)
-        fillOwn(moment);
+        prepareOwn(moment);
     m_lastCreate = moment.m_now;
     return send(Waiting::Create, CreateSegment{m_next, m_own->m_body}, moment);
 }
@@ -96,26 +97,26 @@
     return m_own ? m_own->m_settling : Settling::Nothing;
 }
 
-bool PlatformLog::isTrusted(Moment moment) const
+bool PlatformLog::isEndTrusted(Moment moment) const
 {
-    if (!m_endSeen)
+    if (!m_endSeenAt)
         return false;
-    // Both clocks, because the monotonic one stands still while a VM is suspended.
-    return moment.m_now - m_endSeen->m_now < m_settings.m_endTrustDuration
-           && isWithin(m_endSeen->m_wall, moment.m_wall, m_settings.m_endTrustDuration);
+    // Checks both clocks, because the monotonic one stops while a VM is suspended.
+    return moment.m_now - m_endSeenAt->m_now < m_settings.m_endTrustDuration
+           && isWithin(m_endSeenAt->m_wall, moment.m_wall, m_settings.m_endTrustDuration);
 }
 
 bool PlatformLog::canTrim() const
 {
-    // The last segment stays: in an empty log, numbers would start at 1 again, and a process that
-    // still knows the old end would not meet the new segments.
+    // The last segment is kept: in an empty log, numbers would start at 1 again, and a process that
+    // still knows the old end would not see the new segments.
     return m_positioned && m_lowest < m_trimBefore && m_lowest + 1 < m_next;
 }
 
 bool PlatformLog::mustRead() const
 {
-    const bool settles = settling() == Settling::ReadBack || settling() == Settling::ByNext;
-    return settles || m_conflict || m_corrupt || !m_listed.empty();
+    const bool verifiesOwn = settling() == Settling::ReadBack || settling() == Settling::ByNext;
+    return verifiesOwn || m_conflict || m_corrupt || !m_listed.empty();
 }
 
 void PlatformLog::onAnswer(const LogAnswer &answer, Moment moment)
@@ -138,13 +139,13 @@
     const SegmentNumber highest = all.empty() ? 0 : *all.rbegin();
     // The last segment is never trimmed, so that its absence means that the platform lost objects.
     if (highest + 1 < m_next)
-        return reportCorrupt("the end of the log is gone", moment);
+        return reportCorrupt("the end of the log is missing", moment);
     m_corrupt = m_corrupt && m_listed.contains(m_next);
-    moveToListed();
-    m_endSeen = m_sentAt;
+    skipToListed();
+    m_endSeenAt = m_sentAt;
 }
 
-void PlatformLog::moveToListed()
+void PlatformLog::skipToListed()
 {
     const bool wasPositioned = m_positioned;
     m_positioned = true;
@@ -153,7 +154,7 @@
     const SegmentNumber target = *m_listed.begin();
     if (wasPositioned)
         m_events.emplace_back(LogGap{m_next, target - 1});
-    returnOwn();
+    requeueOwn();
     m_conflict = false;
     m_next = target;
     m_previous.reset();
@@ -178,8 +179,9 @@
     }
     if (isOwn)
         return settleOwn(moment);
-    // Another's segment has the number: what we sent for it can't take effect any more.
-    returnOwn();
+    // The number belongs to a segment of another writer: a create by this process can no longer
+    // take effect.
+    requeueOwn();
     m_conflict = false;
     if (m_previous && segment.previous != *m_previous)
         m_events.emplace_back(LogStray{m_next - 1});
@@ -191,7 +193,7 @@
     m_listed.erase(m_next);
     ++m_next;
     confirmEnd(moment);
-    moveToListed();
+    skipToListed();
 }
 
 void PlatformLog::handle(const SegmentMissing &, Moment moment)
@@ -199,17 +201,18 @@
     m_outstanding = Waiting::Nothing;
     m_failures = 0;
     if (settling() == Settling::ByNext)
-        return voidOwn();
+        return discardOwn();
     if (settling() == Settling::ReadBack) {
-        // Failure: the create was lost on its way, or is still on it and takes effect later. The
-        // latter shows as a record that was reported as not written. The same number with the same
-        // body is created again: whichever of the two takes effect, the other meets it.
+        // Failure: the create was lost on its way, or is delayed and takes effect later. In the
+        // latter case, a record would be reported as not written and yet be written. The same
+        // number is created again with the same body: whichever create takes effect, the other one
+        // conflicts with it.
         m_own->m_settling = Settling::Nothing;
         return;
     }
     const bool wasKnown = m_conflict || m_corrupt || m_listed.contains(m_next);
     m_conflict = false;
-    if (wasKnown || !isTrusted(moment)) {
+    if (wasKnown || !isEndTrusted(moment)) {
         m_listNeeded = true;
         m_refresh = m_refresh || m_refreshSent;
         m_refreshSent = false;
@@ -263,26 +266,26 @@
     m_outstanding = Waiting::Nothing;
     backOff(answer.m_retryAfter, moment);
     if (refused == Waiting::Create && !m_own->m_inDoubt)
-        returnOwn();
+        requeueOwn();
 }
 
 void PlatformLog::backOff(Duration retryAfter, Moment moment)
 {
-    const Duration doubled = firstRetry * (1 << std::min(m_failures, maxDoublings));
+    const Duration doubled = minRetryDelay * (1 << std::min(m_failures, maxDoublings));
     ++m_failures;
-    m_retryAt = moment.m_now + std::max(retryAfter, std::min(doubled, lastRetry));
+    m_retryAt = moment.m_now + std::max(retryAfter, std::min(doubled, maxRetryDelay));
     m_refresh = m_refresh || m_refreshSent;
     m_refreshSent = false;
 }
 
 void PlatformLog::confirmEnd(Moment moment)
 {
-    // A read by a log that lost trust proves nothing: what it read may be a stray.
-    if (isTrusted(moment))
-        m_endSeen = m_sentAt;
+    // A read after the end lost its trust proves nothing, as it may have read a stray segment.
+    if (isEndTrusted(moment))
+        m_endSeenAt = m_sentAt;
 }
 
-void PlatformLog::fillOwn(Moment moment)
+void PlatformLog::prepareOwn(Moment moment)
 {
     m_queue.fillBatch();
     OwnSegment own;
@@ -299,7 +302,7 @@
     m_own = std::move(own);
 }
 
-/// Names the own segment as the one that follows it does.
+/// Returns the identity of the own segment, as the next segment names it.
 std::string PlatformLog::ownIdentity() const
 {
     wire::LogSegment own;
@@ -312,10 +315,10 @@
 {
     m_conflict = false;
     // Failure: the process was paused around its create for longer than segments are kept, and the
-    // number was free only because its segment had been trimmed. It shows as two holders of one
-    // claim. The last segment is never trimmed, so that ours is in the log only if it is the last,
-    // or the next one names it.
-    if (!isTrusted(moment)) {
+    // number was free only because its segment had been trimmed. One claim would have two holders.
+    // As the last segment is never trimmed, the own segment is in the log only if it is the last
+    // one or the next one names it.
+    if (!isEndTrusted(moment)) {
         m_own->m_settling = Settling::ByList;
         return;
     }
@@ -327,14 +330,14 @@
 {
     const std::set<SegmentNumber> all(answer.m_numbers.begin(), answer.m_numbers.end());
     if (!all.contains(m_next))
-        return voidOwn();
+        return discardOwn();
     if (*all.rbegin() == m_next) {
-        m_endSeen = m_sentAt;
+        m_endSeenAt = m_sentAt;
         return settleOwn(moment);
     }
     if (!all.contains(m_next + 1))
-        return voidOwn();
-    m_endSeen.reset();
+        return discardOwn();
+    m_endSeenAt.reset();
     m_own->m_settling = Settling::ByNext;
 }
 
@@ -345,7 +348,7 @@
         return reportCorrupt(errorOf(decoded).m_text, moment);
     m_corrupt = false;
     if (valueOf(decoded).previous != ownIdentity())
-        return voidOwn();
+        return discardOwn();
     applyOwn();
     m_listNeeded = true;
 }
@@ -362,22 +365,22 @@
     m_own.reset();
     m_listed.erase(m_next);
     ++m_next;
-    moveToListed();
+    skipToListed();
 }
 
-void PlatformLog::returnOwn()
+void PlatformLog::requeueOwn()
 {
     m_own.reset();
     for (const LogTicket ticket : m_queue.returnBatch())
         m_events.emplace_back(RecordDropped{ticket});
 }
 
-void PlatformLog::voidOwn()
+void PlatformLog::discardOwn()
 {
     m_stray = m_next;
-    returnOwn();
+    requeueOwn();
     m_previous.reset();
-    m_endSeen.reset();
+    m_endSeenAt.reset();
     m_listNeeded = true;
 }
 
@@ -401,9 +404,9 @@
 {
     if (m_outstanding != Waiting::Nothing)
         return std::nullopt;
-    const bool looks = m_listNeeded || m_stray || m_refresh || mustRead();
-    const bool verifies = settling() == Settling::ByList;
-    if (looks || verifies)
+    const bool needsRead = m_listNeeded || m_stray || m_refresh || mustRead();
+    const bool needsList = settling() == Settling::ByList;
+    if (needsRead || needsList)
         return m_retryAt;
     if (hasWork() && m_lastCreate)
         return std::max(m_retryAt, *m_lastCreate + m_settings.m_writeInterval);
--- a/src/ledger/record_queue.cpp
+++ b/src/ledger/record_queue.cpp
@@ -8,7 +8,7 @@
 Result<LogTicket> RecordQueue::append(std::string record)
 {
     if (record.size() > m_limits.m_maxRecordBytes)
-        return Error{ErrorId::RequestTooLarge, "the record is larger than a log takes"};
+        return Error{ErrorId::RequestTooLarge, "the record exceeds the size limit of the log"};
     if (m_waitingBytes + record.size() > m_limits.m_maxWaitingBytes)
         return Error{ErrorId::QueueFull, "too many records wait for the platform"};
     m_waitingBytes += record.size();
