--- a/tests/src/fuzz-claim-ledger.cpp
+++ b/tests/src/fuzz-claim-ledger.cpp
@@ -39,7 +39,7 @@
     std::uint32_t m_value;
 };
 
-/// What the services saw, and what callers were told: the oracle.
+/// The oracle: records what the services received and what results the callers got.
 class Oracle
 {
 public:
@@ -134,7 +134,7 @@
         collectAll();
     }
 
-    /// Lets all faults end and all commands through.
+    /// Ends all faults and executes all commands.
     void heal()
     {
         for (Node &node : m_nodes)
@@ -264,7 +264,7 @@
         m_forwards.push_back({index, node.m_life, ticket, request, std::nullopt});
     }
 
-    /// Takes the oldest message between nodes: a claim to this node, or the reply to one.
+    /// Delivers the oldest message between nodes: a forwarded claim or its reply.
     void deliver(std::size_t index, Draw &draw)
     {
         if (m_forwards.empty())
@@ -277,7 +277,7 @@
         if (isLost) {
             if (senderLives)
                 sender.m_node->m_ledger.onForwardLost(message.m_ticket, moment(message.m_from));
-            // The sender gave up, yet the claim may still arrive.
+            // The sender gave up, but the claim may still arrive.
             if (draw.below(2) == 0)
                 m_forwards.push_back(message);
             return;
@@ -335,7 +335,7 @@
             return;
         InFlight &oldest = node.m_inFlight.front();
         switch (draw.below(5)) {
-        case 0: // it takes effect, but its answer hangs
+        case 0: // it takes effect, but its answer is delayed
             if (!oldest.m_answer)
                 oldest.m_answer = m_platform.perform(oldest.m_command);
             return;
@@ -438,6 +438,6 @@
         });
         REQUIRE(holds);
     }
-    // The faults must leave enough that works for the oracle to judge.
+    // Enough requests must succeed despite the faults to make the oracle meaningful.
     CHECK(runs > 1000);
 }
--- a/tests/src/fuzz-jobs-reach.cpp
+++ b/tests/src/fuzz-jobs-reach.cpp
@@ -5,7 +5,7 @@
 
 using namespace gypsumdale::testing;
 
-// Guards against what one node does that alone has lost the platform.
+// Guards against actions of a node that is the only one without access to the platform.
 TEST_CASE("jobs survive what is promised while nodes alone lose the platform", "[fuzz][jobs]")
 {
     checkJobs(rc::gen::weightedElement<Act>({
--- a/tests/src/fuzz-order-lease-pauses.cpp
+++ b/tests/src/fuzz-order-lease-pauses.cpp
@@ -4,7 +4,7 @@
 
 using namespace gypsumdale::testing;
 
-// Guards against an order that is held up beyond the longest pause and undoes a newer one.
+// Guards against an order that is delayed beyond the longest pause and reverts a newer one.
 TEST_CASE("one orderer under faults in any order and pauses without a bound")
 {
     REQUIRE(playOrders(HoldUps::Unbounded));
--- a/tests/src/fuzz-order-lease.cpp
+++ b/tests/src/fuzz-order-lease.cpp
@@ -8,7 +8,7 @@
 {
     const auto orders = playOrders(HoldUps::Bounded);
     REQUIRE(orders);
-    // The faults must leave enough that works for the engine to judge.
+    // Enough orders must succeed despite the faults to make the check by the engine meaningful.
     CHECK(*orders > 1000);
     OrderWorld undisturbed(HoldUps::Bounded);
     undisturbed.heal();
--- a/tests/src/unit-answer-assembler.cpp
+++ b/tests/src/unit-answer-assembler.cpp
@@ -62,9 +62,9 @@
 
     SECTION("a truncated answer is never whole")
     {
-        // The runner dies in the middle of a quote; its connection ends in good order, because a
-        // proxy in between closes it. Without finish reason and marker the buyer would be shown
-        // half a bill of materials as the whole.
+        // The runner dies in the middle of an answer, and a proxy closes its connection in good
+        // order. Without the check for finish reason and end marker, the caller would get half the
+        // answer as complete.
         CHECK(errorOf(assembler.attemptResult()).m_id == ErrorId::AnswerTruncated);
         assembler.receiveEndMarker("a");
         CHECK_FALSE(assembler.hasCompleteAnswer());
@@ -73,9 +73,9 @@
 
     SECTION("events of another attempt, doubled ones and late ones are dropped and counted")
     {
-        // A request is resumed on another runner; then the first runner's last events arrive, late
-        // and on a connection used before. Taken in, they would put a stranger's words or old
-        // words into the answer.
+        // A request is resumed on another runner; then the last events of the first runner arrive
+        // late on a reused connection. They would add text of another answer, or old text, to this
+        // one.
         assembler.beginAttempt("b");
         CHECK(assembler.addEvent(token("a", 2, "stranger")) == EventVerdict::OtherAttempt);
         CHECK(assembler.receiveEndMarker("a") == EventVerdict::OtherAttempt);
@@ -158,7 +158,7 @@
 {
     EngineEventReader reader;
     std::string data;
-    // The event's views live as long as its data.
+    // The views of the event are valid as long as its data.
     const auto read = [&reader, &data](std::string text) {
         data = std::move(text);
         const auto event = reader.read(data);
@@ -189,7 +189,7 @@
 
     SECTION("in any other shape, with the same result")
     {
-        // The last of two members with one name counts, as in every JSON reader.
+        // Of two members with the same name, the last one counts, as in every JSON parser.
         CHECK(read(R"({"id":"a","id":"b","token_index":1,"choices":[{"delta":{}}]})").m_attempt
               == "b");
         CHECK(read(R"({"id":"a","token_index":1,"choices":[{"delta":{}}],"usage":{}})").m_index
--- a/tests/src/unit-checkpoint.cpp
+++ b/tests/src/unit-checkpoint.cpp
@@ -74,8 +74,8 @@
     SECTION("tokens of a lost generation are cut back")
     {
         // The caller has read 80 tokens of epoch 1 when its node dies; the last checkpoint has 64.
-        // The successor goes on from there, and being sampled, its tokens differ. By its offset
-        // alone the caller would be served from 80 on, with 16 tokens that belong to no answer.
+        // The successor continues from there and samples different tokens. With the offset alone,
+        // the caller would be served from 80 on and keep 16 tokens that belong to no answer.
         CHECK(history.check(1, 80, 100) == EpochCheck(DiscardAfter{2, 64}));
         CHECK(history.check(2, 80, 100) == EpochCheck(ContinueAt{80}));
     }
--- a/tests/src/unit-claim-ledger.cpp
+++ b/tests/src/unit-claim-ledger.cpp
@@ -72,8 +72,9 @@
 
     SECTION("a paused holder can't claim behind its rival's back")
     {
-        // The holder is suspended with its create in hand. The caller resubmits at another node,
-        // which claims and runs. When the holder wakes up, its create meets the rival's segment.
+        // The holder is suspended before its create is sent. The caller resubmits at another node,
+        // which claims and runs the request. When the holder wakes up, its create finds the segment
+        // of the other node.
         std::optional<ShardCommand> command = a.m_ledger.next(now);
         a.m_ledger.onAnswer(0, platform.perform(*command), now);
         command = a.m_ledger.next(now);
@@ -110,8 +111,9 @@
         }
         SECTION("that takes effect after the caller was told 'not run' ends as a free key")
         {
-            // The platform is silent until patience ends. The caller hears "not run"; then the
-            // claim appears. Without the record that follows, the key would be unknown for a day.
+            // The platform does not answer until the claim timeout. The caller gets "not run"; then
+            // the claim appears. Without the record that follows, the key would be unknown for a
+            // day.
             a.m_ledger.onAnswer(0, LogAnswerLost{}, now);
             elapse(6s);
             a.m_ledger.advance(now);
@@ -132,7 +134,7 @@
         CHECK(is<InProgressOrUnknown>(claim(fresh, "order-7")));
         elapse(22h);
         CHECK(is<InProgressOrUnknown>(claim(fresh, "order-7")));
-        // The retention counts from the last claim of the key, which was an hour after the first.
+        // The retention counts from the last claim of the key, one hour after the first.
         elapse(3h);
         CHECK(is<Granted>(claim(fresh, "other")));
         CHECK(is<Granted>(claim(fresh, "order-7")));
@@ -174,8 +176,8 @@
 
     SECTION("a forwarded claim whose reply is lost")
     {
-        // The preferred node claims for the sender and grants, but the reply never arrives. Only
-        // the sender could run the attempt; it declares it dead and claims anew by itself.
+        // The preferred node claims and grants for the sender, but the reply never arrives. Only
+        // the sender could run the attempt; it abandons it and claims again by itself.
         const ClaimRequest request = b.request("bolt-gmbh", "order-8", "3", now.m_now + 10s);
         const ClaimTicket sent = b.m_ledger.beginForwarded(request, now);
         const ClaimTicket atA = a.m_ledger.beginForPeer(request, NodeId("b"), now);
--- a/tests/src/unit-job-outage.cpp
+++ b/tests/src/unit-job-outage.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t k_owner = 0;
 constexpr std::size_t k_other = 1;
 constexpr std::size_t k_third = 2;
-/// Steps in which a death shows, its job is taken over and the log has the takeover.
+/// Steps in which a death is detected, the job is taken over and the takeover reaches the log.
 constexpr int k_takeoverSteps = 20;
 
 void finishAll(JobWorld &world)
@@ -26,7 +26,7 @@
     }
 }
 
-/// Reads on through one node until nothing more comes.
+/// Reads through one node until no more tokens arrive.
 void readThrough(JobWorld &world, JobWorld::Caller &caller, std::size_t entry)
 {
     for (int attempt = 0; attempt < 3; ++attempt) {
@@ -35,7 +35,8 @@
     }
 }
 
-/// A job whose owner alone has lost the platform and has generated the whole answer.
+/// Creates a job whose owner is the only node without the platform and has generated the complete
+/// answer.
 std::size_t generateCutOff(JobWorld &world)
 {
     const std::size_t job = *world.offer(k_owner, "roper");
@@ -47,8 +48,8 @@
     return job;
 }
 
-/// Returns how many answers were overruled after the owner and one more node were cut off and the
-/// owner was paused. All callers must end with the same answers.
+/// Returns how many answers were overruled after the owner and one more node lost the platform and
+/// the owner was paused. All callers must end with the same answers.
 std::uint64_t playTakeover(std::size_t cutOff)
 {
     constexpr std::size_t jobs = 6;
@@ -91,7 +92,8 @@
 
 } // namespace
 
-// Guards against an answer shown as final by an owner that the log, which others reach, overrules.
+// Guards against an answer that its owner, which alone has lost the platform, reports as final
+// although the log, which others reach, overrules it.
 TEST_CASE("an owner that alone has lost the platform shows no final answer before the log",
           "[jobs]")
 {
@@ -113,17 +115,17 @@
     CHECK(late.m_have.text() == early.m_have.text());
 }
 
-// Guards against two whole answers of one job, with no death: its owner is paused, its holder cut
-// off as well, and a third node goes on from the log.
+// Guards against two complete answers of one job without a death: its owner is paused, its holder
+// has lost the platform as well, and a third node continues from the log.
 TEST_CASE("a provisional answer that the log overrules is cut back", "[jobs]")
 {
-    // Hashing chooses the holders and the caretaker of the log: one of the two cut-off nodes is not
-    // the caretaker.
+    // Hashing chooses the holders and the caretaker of the log: one of the two partitioned nodes is
+    // not the caretaker.
     const std::uint64_t overruled = playTakeover(k_other) + playTakeover(k_third);
     CHECK(overruled > 0);
 }
 
-// Guards against a final answer that is gone with its owner and its only holder.
+// Guards against a final answer that is lost with its owner and its only holder.
 TEST_CASE("an answer that only its owner and a holder have is not final", "[jobs]")
 {
     JobWorld world({"a", "b", "c"});
@@ -140,7 +142,7 @@
     CHECK(early.m_isWhole);
 }
 
-// Guards against a caller that waits for the end of an answer until an outage is over.
+// Guards against a caller that waits for the end of an answer until an outage ends.
 TEST_CASE("an answer in full is told in an outage of the whole platform", "[jobs]")
 {
     JobWorld world({"a", "b", "c"});
@@ -158,7 +160,7 @@
     CHECK(caller.m_isWhole);
 }
 
-// Guards against a job that leaves no trace in the log for seconds after a hand-over in an outage.
+// Guards against a job that is missing in the log for seconds after a hand-over in an outage.
 TEST_CASE("a successor's epoch is in the log soon after both wrote the job's offer", "[jobs]")
 {
     JobWorld world({"a", "b", "c"});
@@ -168,7 +170,7 @@
     world.settle();
     world.generate(k_third, 4);
     world.notice(k_third, ReclaimScope::OwnVm);
-    // Neither finds the offer in the log, so both append it.
+    // Neither node finds the offer in the log, so both append it.
     world.setPlatform(true);
     world.step();
     world.settle(5);
@@ -188,7 +190,7 @@
 {
     JobWorld world({"a", "b", "c"});
     const std::size_t job = *world.offer(k_third, "roper");
-    // This node has read the log while it was empty.
+    // This node read the log while it was empty.
     CHECK(world.pry(job, k_other) == "");
     world.settle(1);
     REQUIRE(world.jobs()[job].m_isAccepted);
@@ -207,7 +209,7 @@
     CHECK(caller.m_isWhole);
 }
 
-// Guards against a caller that is told there is no such job while only its holder knows it.
+// Guards against a caller that gets "no such job" while only the holder knows the job.
 TEST_CASE("a job that only a holder has is not denied at its owner's death", "[jobs]")
 {
     JobWorld world({"a", "a", "b", "b"});
@@ -231,10 +233,10 @@
     CHECK(caller.m_isWhole);
 }
 
-// Guards against jobs that two leaving nodes each drop, as the other says that it has them.
+// Guards against jobs that two leaving nodes both drop, as each is told that the other has them.
 TEST_CASE("finished jobs that come back from a successor that leaves too are not dropped", "[jobs]")
 {
-    // Hashing chooses successors: some of the jobs come back to the first owner.
+    // Hashing chooses the successors: some of the jobs come back to the first owner.
     constexpr std::size_t jobs = 8;
     JobWorld world({"a", "b", "c"});
     world.setPlatform(false);
@@ -245,14 +247,14 @@
     world.generate(k_owner, JobWorld::k_answerTokens);
     world.settle();
     world.notice(k_owner, ReclaimScope::OwnVm);
-    // The hand-overs come twice, and the answers to the first ones are lost.
+    // The hand-overs arrive twice, and the answers to the first ones are lost.
     const std::size_t handOvers = world.messages().size();
     for (std::size_t index = 0; index < handOvers; ++index)
         world.deliver(index, true);
     std::erase_if(world.messages(), [](const JobWorld::Message &message) {
         return std::holds_alternative<AnswerHandOver>(message.m_body);
     });
-    // A successor leaves before it hears that the first owner does.
+    // A successor leaves before it learns that the first owner does.
     world.notice(k_other, ReclaimScope::OwnVm);
     world.settle(k_takeoverSteps);
     world.setPlatform(true);
@@ -264,13 +266,13 @@
     }
 }
 
-// Guards against the loss of an accepted job by the next process of its owner's node.
+// Guards against the loss of an accepted job through the next process of its owner's node.
 TEST_CASE("a restarted owner's node doesn't have the copy of its former process dropped", "[jobs]")
 {
     JobWorld world({"a", "b", "c"});
     world.setPlatform(false);
     const std::size_t job = *world.offer(k_owner, "roper");
-    // The copy's message comes twice, the second time after the owner's death.
+    // The message with the copy arrives twice, the second time after the owner's death.
     const JobWorld::Message hold = world.messages().front();
     world.settle();
     REQUIRE(world.jobs()[job].m_isAccepted);
--- a/tests/src/unit-job-table.cpp
+++ b/tests/src/unit-job-table.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t k_entry = 0;
 
-/// Reads on through one node until nothing more comes.
+/// Reads through one node until no more tokens arrive.
 void readThrough(JobWorld &world, JobWorld::Caller &caller, std::size_t entry)
 {
     for (int attempt = 0; attempt < 3; ++attempt) {
@@ -77,8 +77,8 @@
 
     SECTION("the acknowledgement comes after the refusal")
     {
-        // The platform is out and the peer slow: the caller has been told that its draft is not
-        // held when the peer's answer comes. The copy must not live on and run for nobody.
+        // The platform is unreachable and the peer is slow: the caller's job was already refused
+        // when the peer's answer arrives. The copy must not remain and be run for nobody.
         world.setPlatform(false);
         const std::size_t job = *world.offer(k_entry, "roper");
         for (int step = 0; step < 25; ++step)
@@ -92,8 +92,8 @@
 
     SECTION("the record takes effect after the refusal")
     {
-        // The platform is slow, not out: the offer lands in the log after the caller was refused.
-        // Without the removal behind it a successor would find it there and run it.
+        // The platform is slow but reachable: the offer reaches the log after the caller was
+        // refused. Without the removal after it, a successor would find the offer there and run it.
         const std::size_t job = *world.offer(k_entry, "roper");
         world.drop(0);
         for (int step = 0; step < 25; ++step) {
@@ -153,8 +153,9 @@
 
     SECTION("of the entry VM, whose process dies in the middle of it")
     {
-        // The notice has come and the hand-over is under way, when the process dies and the message
-        // with it. What the log or the holder has is gone on with; the caller is cut back to it.
+        // The process dies during the hand-over after a reclaim notice, and the message is lost
+        // with it. The job continues from what the log or the holder has, and the caller discards
+        // its tokens after that.
         world.notice(k_entry, ReclaimScope::OwnVm);
         world.messages().clear();
         world.crash(k_entry);
@@ -166,8 +167,9 @@
 
     SECTION("and the successor's answer is lost")
     {
-        // The successor has taken the job, its answer is lost, and the hand-over comes again. Taken
-        // twice, two generations would share an epoch and a caller could mix them.
+        // The successor has accepted the job, its answer is lost, and the hand-over arrives again.
+        // If it were accepted twice, two generations would share an epoch, and a caller could mix
+        // them.
         world.notice(k_entry, ReclaimScope::OwnVm);
         world.deliver(0);
         world.messages().clear();
@@ -187,10 +189,10 @@
 
 TEST_CASE("a hand-over comes back from its successor", "[jobs]")
 {
-    // The entry VM hands its draft over and its successor takes it; then the successor's data
-    // centre is to be reclaimed too, and it chooses the entry VM, whose own notice it has not heard
-    // of. If that says "taken" because it knows the job, both drop it and the accepted draft is
-    // lost.
+    // The entry VM hands its job over and the successor accepts it. Then the successor's data
+    // centre is to be reclaimed too, and it chooses the entry VM, of whose own notice it does not
+    // know. If the entry VM confirmed because it knows the job, both would drop it and the accepted
+    // job would be lost.
     JobWorld world({"a", "b", "c"});
     world.setPlatform(false);
     const std::size_t job = *world.offer(2, "roper");
@@ -206,9 +208,9 @@
 
 TEST_CASE("a paused owner is fenced by its log", "[jobs]")
 {
-    // The owner is paused for seconds, with records on their way; the others take it for dead and
-    // one takes its job over. Then it goes on, believes that it still owns the job, and its records
-    // land in the log behind the takeover. Were they to count, the answer would be mixed.
+    // The owner is paused for seconds with records on their way; the other nodes consider it dead,
+    // and one takes its job over. Then the owner resumes, still acts as the owner, and its records
+    // reach the log after the takeover. If they took effect, the answer would be mixed.
     JobWorld world({"a", "b", "c"});
     const std::size_t job = *world.offer(k_entry, "roper");
     const JobId id = world.jobs()[job].m_id;
@@ -249,8 +251,8 @@
 TEST_CASE("an offset alone presents a mixed answer", "[jobs]")
 {
     // The same loss, seen by two callers: one names its epoch, the other only counts tokens, which
-    // amounts to claiming the successor's epoch. Sampled generations differ, so the second one ends
-    // with the first tokens of one and the last tokens of another.
+    // means that it names the successor's epoch. Sampled generations differ, so that the second
+    // caller ends with the first tokens of one and the last tokens of the other.
     JobWorld world({"a", "b", "c"});
     const std::size_t job = *world.offer(k_entry, "roper");
     world.settle();
@@ -357,10 +359,9 @@
     }
 }
 
-// A VM has read the log of another and is then frozen. Meanwhile a fitter's draft is accepted at
-// the other and comes into the log; then the other is taken for dead. The frozen VM wakes up, and
-// the fitter asks there: it looked into what it had read before, and said that there is no such
-// job.
+// A VM that has read the log of another one is paused. Meanwhile the other VM accepts a job, which
+// reaches the log, and is then considered dead. The first VM resumes and gets a request for the
+// job: it used to look into its old read of the log and answer that there is no such job.
 TEST_CASE("a node that was paused doesn't deny a job from its old reading of a log", "[jobs]")
 {
     constexpr std::size_t asked = 1;
@@ -399,7 +400,7 @@
         };
         ask();
         world.settle(2);
-        // A holder may still have it.
+        // A holder may still have the job.
         CHECK(ask() == ErrorId::NotReady);
         world.step(10s);
         ask();
--- a/tests/src/unit-order-lease.cpp
+++ b/tests/src/unit-order-lease.cpp
@@ -21,7 +21,7 @@
         lease.onAnswer(platform.perform(*command), now);
 }
 
-/// Lets leases run for a while, second by second.
+/// Runs leases for a while, second by second.
 void elapse(std::initializer_list<OrderLease *> leases, testing::MemoryLeasePlatform &platform,
             TimePoint &now, int seconds)
 {
@@ -52,8 +52,8 @@
 
     SECTION("a paused holder stops by itself, and its successor has a higher number")
     {
-        // The holder sleeps through its lease and wakes up in the middle of giving an order. It
-        // still believes it holds the lease; the check right before the order must tell it.
+        // The holder is paused beyond the end of its lease and resumes while it sends an order. It
+        // still acts as the holder; the check right before the order must stop it.
         const FencingNumber old = *a.fence(now);
         elapse({&b}, platform, now, 30);
         CHECK_FALSE(a.isHeld(now));
@@ -131,7 +131,8 @@
 
     SECTION("a late order of an old orderer is read back and corrected")
     {
-        // An engine ignores numbers and an old order arrives after a pause beyond the set longest.
+        // An engine ignores fencing numbers, and an old order arrives after a pause beyond the
+        // configured longest one.
         const UpstreamId engine("runner-1");
         std::string state = "none";
         OrderReconciler reconciler(5s);
--- a/tests/src/unit-platform-log.cpp
+++ b/tests/src/unit-platform-log.cpp
@@ -17,7 +17,7 @@
         : m_log(PlatformLogBuilder(writer).writeInterval(0ms).endTrustDuration(1min).build())
     {}
 
-    /// Carries commands out until none is left, and keeps the events.
+    /// Executes commands until none is left, and collects the events.
     void settle(testing::MemoryLogPlatform &platform, Moment moment)
     {
         while (const auto command = m_log.next(moment))
@@ -47,7 +47,7 @@
     std::string m_records;
 };
 
-/// Advances a log to the point where its create is about to be carried out.
+/// Advances a log to the point at which its create is about to be executed.
 CreateSegment nextCreate(Node &node, testing::MemoryLogPlatform &platform, Moment moment)
 {
     while (const auto command = node.m_log.next(moment)) {
@@ -90,8 +90,9 @@
 
     SECTION("a loser of a race reads what it missed and writes behind it")
     {
-        // Two writers stand at the same number. The slower one's create meets the other's segment;
-        // its records must land behind, not on top and not nowhere.
+        // Two writers are about to create the same number. The create of the slower one finds the
+        // segment of the other; its records must be appended after that segment, neither replacing
+        // it nor getting lost.
         REQUIRE(succeeded(a.m_log.append("x")));
         REQUIRE(succeeded(b.m_log.append("y")));
         const CreateSegment late = nextCreate(b, platform, start);
@@ -120,7 +121,7 @@
         }
         SECTION("takes effect between reading back and the second create")
         {
-            // The first create hangs in the network while the object is read as missing, and
+            // The first create is delayed in the network while the object is read as missing, and
             // arrives just before the second one. Only the same number and body make them one.
             a.answer(LogAnswerLost{}, start);
             const CreateSegment again = nextCreate(a, platform, start);
@@ -201,8 +202,8 @@
 
     SECTION("a writer that slept until its number was trimmed does not write there")
     {
-        // A VM is suspended with its create ready. Meanwhile others write on and trim. The number
-        // is free when it wakes up; a record there would stand in front of all that followed.
+        // A VM is suspended with its create ready. Meanwhile others append and trim. The number is
+        // free when the VM resumes; a record there would precede all later ones.
         REQUIRE(succeeded(a.m_log.append("x")));
         a.settle(platform, start);
         b.m_log.refresh();
--- a/tests/src/unit-record-queue.cpp
+++ b/tests/src/unit-record-queue.cpp
@@ -54,7 +54,7 @@
 
     SECTION("puts a batch back before what waits, without what was given up")
     {
-        // Guards against a record that was reported as not written and is written later.
+        // Guards against a record that is reported as not written and written later.
         const LogTicket first = valueOf(queue.append("12"));
         const LogTicket second = valueOf(queue.append("34"));
         queue.fillBatch();
