--- a/include/gypsumdale/ledger/platform_log.hpp
+++ b/include/gypsumdale/ledger/platform_log.hpp
@@ -17,7 +17,7 @@
 
 /// The state of a log.
 enum class LogState {
-    Behind, ///< Unread segments exist, or whether any exist is unknown.
+    Behind, ///< Unread segments exist or may exist.
     UpToDate, ///< All known segments are applied.
     Unavailable, ///< The platform did not answer; the next attempt is pending.
     Corrupt, ///< The next segment is not readable.
