--- a/include/gypsumdale/policy/admission.hpp
+++ b/include/gypsumdale/policy/admission.hpp
@@ -19,21 +19,22 @@
 
 namespace gypsumdale {
 
-/// What an entry VM tells its data centre's others in each heartbeat, for one service.
+/// Load of an entry VM for one service, which it reports to its peers in the data centre with each
+/// heartbeat.
 struct NodeLoad
 {
     TokenCounts m_tokens;
     InFlightByUpstream m_inFlight;
 };
 
-/// Send the request to the upstream now.
+/// Command: sends the request to the upstream now.
 struct Dispatch
 {
     WaitingRequest m_request;
     UpstreamId m_upstream;
 };
 
-/// Answer the request now with this error and the time to come back.
+/// Command: answers the request now with this error and retry-after.
 struct Refuse
 {
     RequestId m_request;
@@ -44,58 +45,63 @@
 using AdmissionCommand = std::variant<Dispatch, Refuse>;
 using AdmissionCommands = std::vector<AdmissionCommand>;
 
-/// Decides for one service on one entry VM which request goes to which upstream and when, and which
-/// is refused. Every request submitted ends in exactly one Dispatch or Refuse, or in cancel().
+/// Admission control for one service on one entry VM: decides when each request is sent to which
+/// upstream, and which requests are refused. Every submitted request ends in exactly one Dispatch
+/// or Refuse, or in cancel().
 class AdmissionController
 {
 public:
     class Builder;
 
-    /// Sets the members' weights and limits; members not named weigh 1 and have no limit.
+    /// Sets the members' weights and limits. Members that are not listed have weight 1 and no
+    /// limit.
     void setMembers(const std::vector<MemberShare> &members);
 
-    /// Sets the live entry VMs of the own data centre; this one counts also if not named.
+    /// Sets the live entry VMs of this VM's data centre. This VM always counts, listed or not.
     void setNodes(std::vector<NodeId> nodes);
 
-    /// Takes an upstream's state, new or changed. Leaving is never undone for an incarnation.
-    /// Logarithmic.
+    /// Applies the state of a new or known upstream. An incarnation that is leaving stays so.
+    /// Complexity: logarithmic.
     void updateUpstream(const UpstreamReport &state, TimePoint now);
     void removeUpstream(const UpstreamId &upstream);
 
-    /// Takes a peer's heartbeat; one of an older incarnation is ignored. Linear in the load.
+    /// Applies a peer's heartbeat; ignores one of an older incarnation. Complexity: linear in the
+    /// load.
     void mergePeer(const NodeId &peer, std::uint64_t incarnation, const NodeLoad &load,
                    TimePoint now);
     void applyCacheEvent(const CacheEvent &event, TimePoint now);
 
-    /// Takes a request in: it is dispatched, refused, or waits. May bring commands for others too.
+    /// Submits a request, which is dispatched, refused or queued. The commands returned may concern
+    /// other requests too.
     AdmissionCommands submit(WaitingRequest request, TimePoint now);
 
-    /// Looks at what waits: to be called after every change, and every few tens of milliseconds.
+    /// Processes the queue. Must be called after every change, and every few tens of milliseconds.
     AdmissionCommands poll(TimePoint now);
 
-    /// The caller went away. Waiting requests leave the queue; one in flight has to be ended with
-    /// finishAttempt().
+    /// Cancels a request whose caller disconnected. A queued request leaves the queue; one in
+    /// flight must still be ended with finishAttempt().
     bool cancel(const RequestId &request);
 
-    /// Tells of progress of a dispatched request; unknown ids are ignored. Constant.
+    /// Records progress of a dispatched request; ignores unknown ids. Complexity: constant.
     void firstToken(const RequestId &request, TimePoint now);
     void tokens(const RequestId &request, std::uint32_t count, TimePoint now);
 
-    /// Tells the real token numbers of a dispatched request once the upstream reports them; the
-    /// difference to what was charged is corrected. Logarithmic.
+    /// Sets the token numbers that the upstream reported for a dispatched request, and corrects
+    /// what was charged so far. Complexity: logarithmic.
     void usage(const RequestId &request, std::uint32_t promptTokens, std::uint32_t generated);
 
-    /// Ends a dispatched attempt and frees its slot; unknown ids are ignored, so a doubled end does
-    /// no harm. To try again, submit the request with the upstream added to m_triedUpstreams.
+    /// Ends a dispatched attempt and frees its slot; ignores unknown ids, so it is safe to end an
+    /// attempt twice. To retry, submit the request again with the upstream added to
+    /// m_triedUpstreams.
     AdmissionCommands finishAttempt(const RequestId &request, AttemptEnd end, TimePoint now);
 
-    /// Refuses all that waits and all that comes from now on.
+    /// Refuses all queued and all later requests.
     AdmissionCommands drain(TimePoint now);
 
-    /// Returns what to put into the heartbeat.
+    /// Returns the load to report in the next heartbeat.
     NodeLoad ownLoad() const;
 
-    /// Estimates how long a new request of this member and class would wait for its dispatch.
+    /// Estimates how long a new request of this member and class would be queued.
     Duration estimateWait(const MemberId &member, int priority, TimePoint now) const;
 
     const FairQueue &queue() const { return m_queue; }
@@ -105,9 +111,9 @@
     {
         return m_upstreams.inFlightAt(upstream);
     }
-    /// Returns the upstreams as the routing sees them, for the operators' interface. Linear.
+    /// Returns the upstreams as routing candidates, for the admin interface. Complexity: linear.
     std::vector<Candidate> candidates(TimePoint now) const { return m_upstreams.candidates(now); }
-    /// Tells whether an upstream is ejected because it failed too often.
+    /// Returns whether an upstream is ejected because of repeated failures.
     bool isEjected(const UpstreamId &upstream) const { return m_upstreams.isEjected(upstream); }
 
 private:
@@ -124,12 +130,12 @@
     };
     explicit AdmissionController(const Builder &builder);
 
-    bool mayRun(const MemberId &member) const;
+    bool canRun(const MemberId &member) const;
     bool isBehind(const MemberId &member) const;
-    /// How long what waits would take at the measured rate; zero while that is unknown.
+    /// Returns how long the queued work takes at the measured rate; zero while the rate is unknown.
     Duration backlog() const;
-    std::optional<Refuse> refuseAtOnce(const WaitingRequest &request);
-    bool makeRoom(const MemberId &member, AdmissionCommands &commands);
+    std::optional<Refuse> refuseImmediately(const WaitingRequest &request);
+    bool evictQueued(const MemberId &member, AdmissionCommands &commands);
     void dispatchWaiting(TimePoint now, AdmissionCommands &commands);
     AdmissionCommand route(WaitingRequest request, std::vector<Candidate> &free, TimePoint now);
     Dispatch dispatch(WaitingRequest request, const UpstreamId &upstream, TimePoint now);
@@ -139,7 +145,7 @@
     RoutingRequest routingRequest(const WaitingRequest &request, TimePoint now) const;
     Duration retryAfter(Duration wait);
 
-    AdmissionLocation m_place;
+    AdmissionLocation m_location;
     AdmissionSettings m_settings;
     AdmissionUpstreams m_upstreams;
     RoutingPolicy m_routing;
@@ -153,7 +159,7 @@
     bool m_isDraining = false;
 };
 
-/// Makes an AdmissionController; node and data centre are needed, the rest has defaults.
+/// Builds an AdmissionController. Node and data centre are required, the rest has defaults.
 class AdmissionController::Builder
 {
 public:
@@ -168,7 +174,7 @@
 private:
     friend class AdmissionController;
 
-    AdmissionLocation m_place;
+    AdmissionLocation m_location;
     AdmissionSettings m_settings;
     RoutingPolicy m_routing = PrefixAffinity{};
     std::uint64_t m_seed = 0;
--- a/include/gypsumdale/policy/admission_settings.hpp
+++ b/include/gypsumdale/policy/admission_settings.hpp
@@ -9,26 +9,28 @@
 
 namespace gypsumdale {
 
-/// How requests are admitted and which slots they may use.
+/// Settings of the admission control: queueing, slots and ejection.
 struct AdmissionSettings
 {
     FairQueueSettings m_queue;
     SlotShareSettings m_slots;
     OutlierSettings m_outlier;
-    /// How many requests may wait here at most, of all members and of one.
+    /// Maximum number of queued requests, of all members and of one member.
     std::size_t m_maxWaiting = 2000;
     std::size_t m_maxWaitingPerMember = 1000;
-    /// Which part of this entry VM's slots is kept free of members that have their share of them in
-    /// flight already, so that the others find one without waiting. Costs throughput while few
-    /// members are busy.
+    /// Share of this entry VM's slots kept free of members that already use their own share, so
+    /// that other members find a slot without queueing. Reduces the throughput while few members
+    /// are busy.
     double m_headroom = 0.1;
-    /// A peer whose last heartbeat is older counts with its lent share.
+    /// Maximum age of a peer's heartbeat. Beyond it the peer counts with its even share of the
+    /// slots.
     Duration m_peerMaxAge = std::chrono::milliseconds(750);
-    /// An upstream whose last report is older is used only up to what the entry VMs know of.
+    /// Maximum age of an upstream's report. Beyond it only requests that the entry VMs know of are
+    /// counted against its slots.
     Duration m_reportMaxAge = std::chrono::seconds(10);
-    /// Other regions are used only once what waits here would take longer than this.
+    /// Other regions are used only if the queued work takes longer than this.
     Duration m_spillWait = std::chrono::milliseconds(200);
-    /// A retry-after is never shorter or longer than these.
+    /// Limits of every retry-after.
     Duration m_minRetryAfter = std::chrono::milliseconds(200);
     Duration m_maxRetryAfter = std::chrono::seconds(60);
 };
--- a/include/gypsumdale/policy/admission_upstreams.hpp
+++ b/include/gypsumdale/policy/admission_upstreams.hpp
@@ -12,16 +12,16 @@
 
 namespace gypsumdale {
 
-/// Slots that an entry VM may use now.
+/// Slots of an entry VM, summed over its usable upstreams.
 struct SlotCount
 {
-    /// What peers leave to this entry VM at usable upstreams.
+    /// Slots that the peers leave to this entry VM.
     std::uint32_t m_available = 0;
-    /// Its requests there.
+    /// Requests of this entry VM in flight.
     std::uint32_t m_used = 0;
 };
 
-/// Where the entry VM itself is.
+/// Location of the entry VM itself.
 struct AdmissionLocation
 {
     NodeId m_node;
@@ -29,47 +29,50 @@
     RegionId m_region;
 };
 
-/// The upstreams of a service as one entry VM may use them: what each reported, this VM's requests
-/// there, what the peers count for, what was measured, and which are out of use for their failures.
+/// The upstreams of a service from the view of one entry VM: their reports, this VM's requests in
+/// flight, the slots charged for the peers, measurements, and ejections.
 ///
-/// Leaving is never undone for an incarnation. A removed upstream stays until the last request
-/// there has ended.
+/// An incarnation that is leaving stays so. A removed upstream is kept until its last request has
+/// ended.
 class AdmissionUpstreams
 {
 public:
-    AdmissionUpstreams(AdmissionLocation place, const AdmissionSettings &settings);
+    AdmissionUpstreams(AdmissionLocation location, const AdmissionSettings &settings);
 
     /// Sets the live entry VMs of the data centre.
     void setNodes(std::vector<NodeId> nodes);
-    /// Takes a peer's requests in flight; false if the peer has started anew since. Linear in them.
+    /// Applies a peer's requests in flight. Returns false if they are from before the peer's last
+    /// restart. Complexity: linear in their number.
     bool mergePeer(const NodeId &peer, std::uint64_t incarnation,
                    const InFlightByUpstream &inFlight, TimePoint now);
 
-    /// Returns true if the upstream started anew, and what others remember of it is void.
+    /// Applies a report. Returns true if the upstream has restarted, so that state kept elsewhere
+    /// about it is invalid.
     bool update(const UpstreamReport &report);
-    /// Returns false if there is no such one.
+    /// Removes an upstream; returns false if it is unknown.
     bool remove(const UpstreamId &upstream);
 
-    /// Notes what only time tells: peers and upstreams that fell silent. Linear.
+    /// Marks peers and upstreams without a message for too long. Must be called regularly.
+    /// Complexity: linear.
     void refresh(TimePoint now);
 
-    /// Notes a request's way at an upstream that was chosen from the free candidates; returns the
-    /// incarnation it went to.
+    /// Records the dispatch of a request to an upstream that was selected from the free candidates.
+    /// Returns the upstream's incarnation.
     std::uint64_t dispatched(const UpstreamId &upstream, TimePoint now);
     void firstToken(const UpstreamId &upstream, Duration taken, TimePoint now);
     void tokens(const UpstreamId &upstream, std::uint32_t count, Duration passed, TimePoint now);
     void ended(const UpstreamId &upstream, std::uint64_t incarnation, AttemptEnd end,
                TimePoint now);
 
-    /// Tells whether there is one that is not leaving.
+    /// Returns whether any upstream is not leaving.
     bool hasNonLeavingUpstream() const;
     SlotCount countSlots(TimePoint now) const;
-    /// Those with a slot free for this entry VM; of other regions only if `mayLeaveRegion`, or if
-    /// the own one has none in use. Linear.
+    /// Returns the upstreams with a slot free for this entry VM. Includes other regions only if
+    /// `mayLeaveRegion`, or if the own region has no upstream in use. Complexity: linear.
     std::vector<Candidate> freeCandidates(bool mayLeaveRegion, TimePoint now) const;
-    /// The upstream as a candidate, if it still has a slot free.
+    /// Returns the upstream as a candidate if it still has a free slot.
     std::optional<Candidate> freeCandidate(const UpstreamId &upstream, TimePoint now) const;
-    /// All of them. Linear.
+    /// Returns all upstreams as candidates. Complexity: linear.
     std::vector<Candidate> candidates(TimePoint now) const;
 
     std::uint32_t inFlightAt(const UpstreamId &upstream) const;
@@ -82,25 +85,25 @@
         UpstreamReport m_state;
         bool m_isRemoved = false;
         std::uint32_t m_own = 0;
-        /// What the live peers count for, see PeerSlots.
+        /// Slots charged for the live peers, see PeerSlots.
         std::uint32_t m_peers = 0;
         RecentDispatches m_recent;
         InFlightHistory m_history;
         UpstreamMeasurements m_measures;
     };
 
-    void recountAll();
-    void noteEnd(Upstream &upstream, AttemptEnd end, TimePoint now);
+    void recomputePeerCharges();
+    void recordEnd(Upstream &upstream, AttemptEnd end, TimePoint now);
     bool isUsable(const Upstream &upstream, TimePoint now) const;
     bool hasSlot(const Upstream &upstream, TimePoint now) const;
     bool hasLocalSlot(const Upstream &upstream, TimePoint now) const;
-    bool hasForeignSlot(const Upstream &upstream, TimePoint now) const;
+    bool hasRemoteSlot(const Upstream &upstream, TimePoint now) const;
     bool isFree(const Upstream &upstream, TimePoint now) const;
     std::uint32_t availableSlots(const Upstream &upstream, TimePoint now) const;
-    std::uint32_t foreignAllowance(const UpstreamReport &state) const;
+    std::uint32_t remoteAllowance(const UpstreamReport &state) const;
     Candidate candidate(const Upstream &upstream, TimePoint now) const;
 
-    AdmissionLocation m_place;
+    AdmissionLocation m_location;
     AdmissionSettings m_settings;
     PeerSlots m_peers;
     OutlierDetector m_outlier;
--- a/include/gypsumdale/policy/cache_event.hpp
+++ b/include/gypsumdale/policy/cache_event.hpp
@@ -7,14 +7,14 @@
 
 namespace gypsumdale {
 
-/// What an upstream's prefix cache gained or lost, in the hashes of prefixBlocks(). Events come
-/// late and with gaps.
+/// Blocks added to and evicted from an upstream's prefix cache, as hashes of prefixBlocks(). Events
+/// may be late, and some may be missing.
 struct CacheEvent
 {
     UpstreamId m_upstream;
     std::vector<std::uint64_t> m_added;
     std::vector<std::uint64_t> m_evicted;
-    /// Events before this one were lost: what was remembered may be gone.
+    /// Events before this one were lost, so that earlier blocks may have been evicted.
     bool m_isAfterGap = false;
 };
 
--- a/include/gypsumdale/policy/candidate.hpp
+++ b/include/gypsumdale/policy/candidate.hpp
@@ -8,54 +8,54 @@
 
 namespace gypsumdale {
 
-/// An upstream as the routing sees it at one moment.
+/// Snapshot of an upstream for the routing.
 struct Candidate
 {
     UpstreamId m_upstream;
     DataCentreId m_dataCentre;
     RegionId m_region;
-    /// How many requests the upstream runs at a time.
+    /// Number of requests that the upstream runs concurrently.
     std::uint32_t m_slots = 1;
-    /// This process's requests there: exact.
+    /// Requests of this process in flight there; exact.
     std::uint32_t m_ownInFlight = 0;
-    /// Those of the other entry VMs, by their last heartbeats.
+    /// Requests of the other entry VMs, by their last heartbeats.
     std::uint32_t m_peersInFlight = 0;
-    /// The upstream's own report, and how old it is.
+    /// Requests by the upstream's own report, and the report's age.
     std::uint32_t m_reportedRunning = 0;
     std::uint32_t m_reportedQueued = 0;
     Duration m_reportAge = Duration::max();
-    /// This process's dispatches since that report was made.
+    /// Dispatches of this process since that report was made.
     std::uint32_t m_ownSinceReport = 0;
-    /// Cost of an hour by the cloud's price list, in its currency; 0 where unknown.
+    /// Hourly cost by the cloud's price list, in its currency; 0 if unknown.
     double m_pricePerHour = 0.0;
     bool m_isReclaimable = false;
-    /// Chance of a reclaim within the hour, 0 to 1.
+    /// Probability of a reclaim within the hour, 0 to 1.
     double m_reclaimRisk = 0.0;
-    /// An upstream that leaves gets nothing new.
+    /// The upstream is leaving and gets no new requests.
     bool m_isLeaving = false;
-    /// Smoothed times as measured by this process; zero while unknown.
+    /// Smoothed times measured by this process; zero if unknown.
     Duration m_firstToken{};
     Duration m_betweenTokens{};
-    /// Failures in the recent past, fading.
+    /// Recent failures, decaying over time.
     double m_recentFailures = 0.0;
 };
 
-/// What a routing policy needs to know of a request.
+/// Properties of a request that the routing policies use.
 struct RoutingRequest
 {
     DataCentreId m_dataCentre;
     RegionId m_region;
     std::uint32_t m_promptTokens = 0;
     std::uint32_t m_expectedTokens = 0;
-    /// How long the first token may still take; the bound for staying near.
+    /// Time left until the first token is due; limits the preference for nearby upstreams.
     Duration m_firstTokenTimeLeft = Duration::max();
     std::vector<std::uint64_t> m_prefixBlocks;
     std::vector<UpstreamId> m_triedUpstreams;
 };
 
-/// Estimates the requests now at an upstream: the larger of what the entry VMs know of and what it
-/// reported plus the own dispatches since. Either alone can lag; adding them would count twice.
-/// Constant.
+/// Estimates the number of requests at an upstream: the larger of what the entry VMs know of, and
+/// the upstream's report plus this process's dispatches since. Each of them can lag; their sum
+/// would count requests twice. Complexity: constant.
 std::uint32_t estimatedLoad(const Candidate &candidate);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/policy/circuit_breaker.hpp
+++ b/include/gypsumdale/policy/circuit_breaker.hpp
@@ -9,17 +9,17 @@
 
 struct CircuitBreakerSettings
 {
-    /// Pause after the first failure; each further one doubles it.
+    /// Pause after the first failure; doubles with each further one.
     Duration m_minPause = std::chrono::milliseconds(150);
-    /// A dependency that is back is noticed within this.
+    /// Longest pause, and so the longest time until a recovered dependency is noticed.
     Duration m_maxPause = std::chrono::seconds(1);
 };
 
-/// Keeps callers from a dependency that fails: one call is let through at the end of each pause,
-/// and pauses grow while calls fail.
+/// Circuit breaker for calls to a dependency: after a failure it permits one call at the end of
+/// each pause, and the pause grows while calls fail.
 ///
-/// It answers the load of a partial outage, in which many VMs poll a dependency that turns just
-/// them away, each from several loops: together they make one call a pause, not each its own.
+/// It bounds the load in a partial outage, in which many VMs poll a dependency that rejects only
+/// them, each VM from several loops. The loops of a VM then make one call per pause together.
 class CircuitBreaker
 {
 public:
@@ -27,7 +27,8 @@
         : m_settings(settings)
     {}
 
-    /// Tells whether a call may be made now. One that may counts as made. Constant.
+    /// Returns whether a call may be made now. The caller must make the call if so. Complexity:
+    /// constant.
     bool tryCall(TimePoint now)
     {
         if (!m_isOpen)
@@ -38,11 +39,11 @@
         return true;
     }
 
-    /// Takes in that a call was answered. Constant.
+    /// Records that a call was answered. Complexity: constant.
     void onAnswered() { m_isOpen = false; }
 
-    /// Takes in that a call failed. Calls that were under way together fail together, and lengthen
-    /// the pause once. Constant.
+    /// Records that a call failed. Concurrent calls that fail together lengthen the pause once.
+    /// Complexity: constant.
     void onFailed(TimePoint sentAt, TimePoint now)
     {
         if (m_isOpen && sentAt < m_failedAt)
--- a/include/gypsumdale/policy/fair_queue.hpp
+++ b/include/gypsumdale/policy/fair_queue.hpp
@@ -15,13 +15,13 @@
 
 namespace gypsumdale {
 
-/// How the priority classes of one member take turns.
+/// How the priority classes of one member share its service.
 enum class ClassOrder {
     /// A higher class always goes first; lower ones can starve.
     Strict,
-    /// Each class step counts as so much later an arrival.
+    /// Each step to a lower class counts as a later arrival by m_ageingStep.
     Ageing,
-    /// A higher class goes first, but a share of the tokens is kept for the waiting lower ones.
+    /// A higher class goes first, but a share of the tokens is reserved for the queued lower ones.
     ReservedShare,
 };
 
@@ -34,69 +34,72 @@
 struct FairQueueSettings
 {
     ClassOrder m_classOrder = ClassOrder::ReservedShare;
-    /// Which part of a member's tokens its waiting lower classes get at least.
+    /// Minimum share of a member's tokens for its queued lower classes.
     double m_reservedShare = 0.2;
-    /// What one class step counts for under ageing.
+    /// Delay that one class step counts for under ageing.
     Duration m_ageingStep = std::chrono::seconds(5);
-    /// By how many tokens of service a member may be ahead of the least served one and still have a
-    /// request of a higher class go before the other's lower ones.
+    /// Maximum lead of a member over the least served one, in tokens of service, at which its
+    /// request of a higher class still goes before the other member's lower classes.
     double m_priorityLead = 2000.0;
-    /// How many tokens of service a member that comes back may be behind the most served one; about
-    /// two seconds of the data centre's tokens. Peers lift their idle members by their own view, so
-    /// this bounds what the views can differ by.
+    /// Maximum service, in tokens, that a returning member may be behind the most served one; about
+    /// two seconds of the data centre's tokens. Each peer raises idle members by its own view, so
+    /// this also bounds the difference between the views.
     double m_maxCredit = 50000.0;
 };
 
-/// A request that left the queue because it could no longer be served in time.
+/// A request that left the queue because it can no longer be served in time.
 struct ExpiredRequest
 {
     RequestId m_request;
     Duration m_retryAfter{};
 };
 
-/// Requests waiting for one service, in the order of fair shares: first the members, by virtual
-/// service, then the classes of the chosen member, then arrival.
+/// Queue of one service's requests with fair shares. Selects by member (least virtual service
+/// first), then by the member's priority class, then by arrival.
 class FairQueue
 {
 public:
-    /// Tells when a request that would be dispatched at a time had its first token.
+    /// Returns the estimated time from dispatch to first token.
     using FirstTokenEstimate = std::function<Duration(const WaitingRequest &)>;
-    /// Tells whether a member may have another request dispatched now.
+    /// Returns whether another request of the member may be dispatched now.
     using MemberFilter = std::function<bool(const MemberId &)>;
 
     explicit FairQueue(FairQueueSettings settings = {});
 
     void setWeight(const MemberId &member, double weight);
 
-    /// Adds a request, behind those of its member and class that arrived before it. A member that
-    /// had none waiting is lifted to the virtual time, which follows the least served waiting
-    /// member, and to the most credit allowed against the most served one. An id that waits already
-    /// is left as it is. Linear in the requests that arrived later.
+    /// Adds a request behind those of its member and class that arrived earlier. A member without
+    /// queued requests is raised to the virtual time, which follows the least served queued member,
+    /// and to within the maximum credit of the most served member. An id that is queued already is
+    /// ignored. Complexity: linear in the requests that arrived later.
     void enqueue(WaitingRequest request, TimePoint now);
 
-    /// Takes out the request to serve next, charges its prompt and returns it; nothing if none
-    /// waits or the filter passes no member. Linear in the members and classes.
+    /// Removes and returns the request to serve next, and charges its prompt. Returns nothing if
+    /// the queue is empty or the filter accepts no member. Complexity: linear in the members and
+    /// classes.
     std::optional<WaitingRequest> next(TimePoint now);
-    std::optional<WaitingRequest> next(TimePoint now, const MemberFilter &mayRun);
+    std::optional<WaitingRequest> next(TimePoint now, const MemberFilter &canRun);
 
-    /// Takes out every request that can't have its first token in time any more, judged by the
-    /// work ahead of it and the rate in tokens a second (0 while unknown: then only by the clock).
-    /// The time to come back is when that work is likely to be done. Linear in the waiting ones.
+    /// Removes every request that can no longer get its first token in time, based on the work
+    /// ahead of it and the rate in tokens per second (0 if unknown: then only expired deadlines
+    /// count). The retry-after is the time until that work is expected to be done. Complexity:
+    /// linear in the queued requests.
     std::vector<ExpiredRequest> expire(TimePoint now, double tokensPerSecond = 0.0,
                                        const FirstTokenEstimate &firstToken = {});
 
-    /// Takes out all waiting requests, for a drain. Linear.
+    /// Removes and returns all queued requests, for a drain. Complexity: linear.
     std::vector<WaitingRequest> removeAllWaiting();
 
-    /// Takes out the request that is to make room for a new one of a member: the last one of the
-    /// member with the most waiting for its weight. Nothing if that is the new one's own member.
-    /// Linear in the members.
+    /// Removes and returns a request in favour of a new one of the given member: the last request
+    /// of the member with the most queued requests by weight. Returns nothing if that is the given
+    /// member itself. Complexity: linear in the members.
     std::optional<WaitingRequest> evictFor(const MemberId &member);
 
-    /// Forgets a waiting request; false if it doesn't wait. Linear in the member's requests.
+    /// Removes a queued request; returns false if it isn't queued. Complexity: linear in the
+    /// member's requests.
     bool cancel(const RequestId &request);
 
-    /// Charges tokens as they come. Logarithmic.
+    /// Charges generated tokens. Complexity: logarithmic.
     void charge(const MemberId &member, std::uint64_t tokens);
 
     /// Corrects an earlier charge, see TokenCounters.
@@ -111,12 +114,12 @@
 
     std::size_t waiting() const { return m_index.size(); }
     std::size_t waiting(const MemberId &member) const;
-    /// Returns the expected tokens of all that waits.
+    /// Returns the sum of the expected tokens of all queued requests.
     std::uint64_t waitingTokens() const { return m_waitingTokens; }
 
-    /// Estimates the tokens served before a new request of this member and class would be: its
-    /// member's own ones ahead scaled by the member's share, but no more than all that waits.
-    /// Linear in the members.
+    /// Estimates the tokens served before a new request of this member and class: the member's own
+    /// queued tokens ahead of it, scaled by the member's share, but at most all queued tokens.
+    /// Complexity: linear in the members.
     double tokensAhead(const MemberId &member, int priority) const;
 
 private:
@@ -132,8 +135,8 @@
         std::size_t m_waiting = 0;
     };
 
-    /// What expire() judges by.
-    struct Outlook
+    /// Input of expire() for one call.
+    struct ExpiryInput
     {
         TimePoint m_now;
         double m_tokensPerSecond;
@@ -141,15 +144,15 @@
         const FirstTokenEstimate &m_firstToken;
     };
 
-    std::optional<MemberId> chooseMember(const MemberFilter &mayRun);
+    std::optional<MemberId> chooseMember(const MemberFilter &canRun);
     int chooseLane(const Member &member) const;
     int chooseByCredit(const Member &member) const;
     int chooseByAge(const Member &member) const;
-    void settleCredits(Member &member, int chosen, std::uint64_t cost) const;
-    WaitingRequest take(const MemberId &id, int priority);
-    void forget(Member &member, Lane &lane, const WaitingRequest &request);
-    void expireLane(Member &member, Lane &lane, const Outlook &outlook, double factor, double &own,
-                    std::vector<ExpiredRequest> &result);
+    void updateCredits(Member &member, int chosen, std::uint64_t cost) const;
+    WaitingRequest popFront(const MemberId &id, int priority);
+    void removeFromTotals(Member &member, Lane &lane, const WaitingRequest &request);
+    void expireLane(Member &member, Lane &lane, const ExpiryInput &input, double factor,
+                    double &own, std::vector<ExpiredRequest> &result);
     double shareFactor(const MemberId &member) const;
 
     FairQueueSettings m_settings;
--- a/include/gypsumdale/policy/first_token_times.hpp
+++ b/include/gypsumdale/policy/first_token_times.hpp
@@ -7,24 +7,23 @@
 
 namespace gypsumdale {
 
-/// The smoothed time from dispatch to first token for each profile, since prompts differ by
-/// profile.
+/// Smoothed time from dispatch to first token, per profile, as prompts differ by profile.
 class FirstTokenTimes
 {
 public:
-    /// Notes one measured time. Constant.
+    /// Records a measured time. Complexity: constant.
     void note(const ProfileId &profile, Duration taken, TimePoint now);
 
-    /// Returns what a request dispatched now is likely to take; zero while unknown. Without new
-    /// measurements the estimate fades: a bad spell could otherwise refuse every request, and so
-    /// never learn that it is over. Constant.
+    /// Returns the expected time for a request dispatched now; zero if unknown. The estimate decays
+    /// without new measurements, as otherwise a temporary slowdown could lead to every request
+    /// being refused, and no measurement would ever show that it has ended. Complexity: constant.
     Duration estimate(const ProfileId &profile, TimePoint now) const;
 
 private:
     struct Entry
     {
         double m_seconds = 0.0;
-        TimePoint m_notedAt{};
+        TimePoint m_measuredAt{};
     };
 
     std::unordered_map<ProfileId, Entry> m_entries;
--- a/include/gypsumdale/policy/member_slots.hpp
+++ b/include/gypsumdale/policy/member_slots.hpp
@@ -9,29 +9,30 @@
 
 namespace gypsumdale {
 
-/// A member's part in a service.
+/// Weight and limit of a member for a service.
 struct MemberShare
 {
     MemberId m_member;
     double m_weight = 1.0;
-    /// Requests in flight from this entry VM at most; 0 for no limit.
+    /// Maximum number of requests in flight from this entry VM; 0 for no limit.
     std::uint32_t m_maxInFlight = 0;
 };
 
-/// How many of this entry VM's slots each member of a service has in use, and has a right to.
+/// Slots of this entry VM in use by each member of a service, and each member's share of them.
 class MemberSlots
 {
 public:
-    /// Members not named weigh 1 and have no limit.
+    /// Sets weights and limits. Members that are not listed have weight 1 and no limit.
     void setMembers(const std::vector<MemberShare> &members);
 
     void started(const MemberId &member) { ++m_inFlight[member]; }
     void ended(const MemberId &member) { --m_inFlight[member]; }
     std::size_t inFlight(const MemberId &member) const;
 
-    /// Tells whether the member has as many requests in flight as it may at most.
+    /// Returns whether the member has reached its maximum number of requests in flight.
     bool isAtLimit(const MemberId &member) const;
-    /// Tells whether it has fewer in flight than its share of the slots by weight. Linear.
+    /// Returns whether the member has fewer requests in flight than its weighted share of the
+    /// slots. Complexity: linear.
     bool isBelowShare(const MemberId &member, std::uint32_t slots) const;
 
 private:
--- a/include/gypsumdale/policy/outlier.hpp
+++ b/include/gypsumdale/policy/outlier.hpp
@@ -11,42 +11,48 @@
 
 struct OutlierSettings
 {
-    /// Failures in a row that eject an upstream.
+    /// Consecutive failures that eject an upstream.
     std::uint32_t m_failuresToEject = 5;
-    /// Silence while requests run there that ejects an upstream at once; zero for never.
+    /// Time without data, while requests run there, that ejects an upstream at once; zero to
+    /// disable.
     Duration m_silenceLimit = std::chrono::seconds(10);
-    /// How long the first ejection lasts; each further one doubles it up to the longest.
+    /// Duration of the first ejection, doubled by each further one up to the longest.
     Duration m_firstEjection = std::chrono::seconds(5);
     Duration m_maxEjection = std::chrono::seconds(60);
-    /// Which part of the upstreams may be ejected at a time; at least one stays in use.
+    /// Maximum share of ejected upstreams; at least one stays in use.
     double m_maxEjectedShare = 0.5;
 };
 
-/// Takes upstreams that fail out of use for a while, then lets one request through to probe them.
-/// When many fail at once the cause is rarely the upstreams, so the ejected share is bounded.
+/// Ejects upstreams that fail for a while, then permits one request as a probe. The share of
+/// ejected upstreams is bounded, as many failures at the same time are rarely caused by the
+/// upstreams.
 class OutlierDetector
 {
 public:
     explicit OutlierDetector(OutlierSettings settings = {});
 
-    /// Sets how many upstreams there are, for the bound on the ejected share.
+    /// Sets the number of upstreams, for the bound on the ejected share.
     void setFleetSize(std::size_t size) { m_fleetSize = size; }
 
-    /// Notes a dispatch; for an upstream on probation it is the probe. Constant.
+    /// Records a dispatch. For an upstream on probation it is the probe. Complexity: constant.
     void dispatched(const UpstreamId &upstream, TimePoint now);
-    /// Notes that some byte of an answer came: the upstream isn't silent. Constant.
+    /// Records that data of an answer was received. Complexity: constant.
     void heard(const UpstreamId &upstream, TimePoint now);
-    /// Notes that an attempt brought an answer: ends probation and clears the failures. Constant.
+    /// Records a successful attempt: ends the probation and resets the failures. Complexity:
+    /// constant.
     void onSuccess(const UpstreamId &upstream, TimePoint now);
-    /// Notes a failure; may eject. Linear in the ejected ones.
+    /// Records a failure; may eject the upstream. Complexity: linear in the ejected ones.
     void onFailure(const UpstreamId &upstream, TimePoint now);
-    /// Notes that an attempt ended without telling anything: a probe may be sent again. Constant.
+    /// Records the end of an attempt that shows nothing about the upstream, so that another probe
+    /// may be sent. Complexity: constant.
     void onAbandoned(const UpstreamId &upstream);
-    /// Looks for upstreams that owe answers and have been silent for too long. Linear.
+    /// Ejects upstreams with requests in flight from which no data was received for too long.
+    /// Complexity: linear.
     void checkSilence(TimePoint now);
     void forget(const UpstreamId &upstream);
 
-    /// Tells whether a request may go there: not ejected, or due for a probe with none under way.
+    /// Returns whether a request may be sent there: the upstream is not ejected, or it is due for a
+    /// probe and none is in flight.
     bool canUse(const UpstreamId &upstream, TimePoint now) const;
     bool isEjected(const UpstreamId &upstream) const;
     std::size_t ejectedCount() const;
@@ -57,13 +63,13 @@
         std::uint32_t m_failures = 0;
         std::uint32_t m_ejections = 0;
         std::uint32_t m_outstanding = 0;
-        TimePoint m_heardAt{};
+        TimePoint m_lastDataAt{};
         TimePoint m_ejectedUntil = TimePoint::min();
         bool m_isEjected = false;
         bool m_isProbing = false;
     };
 
-    bool mayEjectOne() const;
+    bool canEjectOne() const;
     void eject(Entry &entry, TimePoint now);
 
     OutlierSettings m_settings;
--- a/include/gypsumdale/policy/peer_slots.hpp
+++ b/include/gypsumdale/policy/peer_slots.hpp
@@ -12,38 +12,41 @@
 
 namespace gypsumdale {
 
-/// Requests in flight by upstream.
+/// Number of requests in flight by upstream.
 using InFlightByUpstream = std::map<UpstreamId, std::uint32_t>;
 
-/// The live entry VMs of the data centre, this one among them, and what each of the others counts
-/// for at an upstream: what it last reported, or its lent share while it is not heard.
+/// The live entry VMs of the data centre, this one included, and the slots charged for each peer at
+/// an upstream: its last reported requests in flight, or its even share while it is silent.
 class PeerSlots
 {
 public:
     PeerSlots(NodeId self, SlotShareSettings settings, Duration maxAge);
 
-    /// This entry VM counts also if not named.
+    /// Sets the live entry VMs. This VM always counts, listed or not.
     void setNodes(std::vector<NodeId> nodes);
     std::uint32_t nodeCount() const { return static_cast<std::uint32_t>(m_nodes.size()); }
 
-    /// This entry VM's place among those that slots of an upstream are shared out to. Constant.
+    /// Returns this entry VM's rank in the distribution of the upstream's slots. Complexity:
+    /// constant.
     std::uint32_t ownRank(const UpstreamId &upstream) const { return rankOf(m_ownIndex, upstream); }
 
-    /// Tells whether a heartbeat of this incarnation is one of a process before.
+    /// Returns whether an incarnation is older than the peer's current one.
     bool isSuperseded(const NodeId &peer, std::uint64_t incarnation) const;
-    /// Tells whether a peer was not heard lately, or never.
+    /// Returns whether the peer's last heartbeat is too old, or none was received.
     bool isStale(const NodeId &peer) const;
-    /// What a peer last reported; empty if nothing.
+    /// Returns the last report of a peer, or an empty one.
     InFlightByUpstream reportOf(const NodeId &peer) const;
     void merge(const NodeId &peer, std::uint64_t incarnation, InFlightByUpstream inFlight,
                TimePoint now);
-    /// Holds for stale whom it did not hear for too long; true if there are new ones. Linear.
+    /// Marks the peers whose last heartbeat is too old; returns whether there are new ones.
+    /// Complexity: linear.
     bool markStalePeers(TimePoint now);
 
-    /// What a peer counts for at an upstream with so many slots; 0 if it is not among the nodes.
+    /// Returns the slots charged for a peer at an upstream with this number of slots; 0 for a node
+    /// that is not live.
     std::uint32_t chargeOf(const NodeId &peer, const UpstreamId &upstream,
                            std::uint32_t slots) const;
-    /// What all peers count for there. Linear in the nodes.
+    /// Returns the slots charged for all peers there. Complexity: linear in the nodes.
     std::uint32_t chargeAt(const UpstreamId &upstream, std::uint32_t slots) const;
 
 private:
@@ -51,7 +54,7 @@
     {
         std::uint64_t m_incarnation = 0;
         InFlightByUpstream m_inFlight;
-        TimePoint m_heardAt{};
+        TimePoint m_receivedAt{};
         bool m_isStale = true;
     };
 
@@ -61,7 +64,7 @@
     NodeId m_self;
     SlotShareSettings m_settings;
     Duration m_maxAge;
-    /// In order of names.
+    /// Sorted by name.
     std::vector<NodeId> m_nodes;
     std::size_t m_ownIndex = 0;
     std::map<NodeId, Peer> m_peers;
--- a/include/gypsumdale/policy/prefix_cache_index.hpp
+++ b/include/gypsumdale/policy/prefix_cache_index.hpp
@@ -11,25 +11,27 @@
 
 namespace gypsumdale {
 
-/// Which prompt blocks each upstream probably has in its cache: a bounded memory that ages.
+/// Index of the prompt blocks that each upstream probably has in its prefix cache. Bounded in size;
+/// entries expire.
 class PrefixCacheIndex
 {
 public:
     PrefixCacheIndex(std::size_t blocksPerUpstream, Duration maxAge);
 
-    /// Remembers blocks as just used; the least recently used beyond the bound are forgotten.
-    /// Linear in the blocks.
+    /// Records blocks as just used, and evicts the least recently used ones beyond the bound.
+    /// Complexity: linear in the blocks.
     void recordBlocks(const UpstreamId &upstream, std::span<const std::uint64_t> blocks,
                       TimePoint now);
 
     void evict(const UpstreamId &upstream, std::span<const std::uint64_t> blocks);
 
-    /// Halves the remaining life of all that is remembered of an upstream, after lost events.
+    /// Halves the remaining lifetime of an upstream's blocks, for use after lost events.
     void halveLifetimes(const UpstreamId &upstream, TimePoint now);
 
     void forget(const UpstreamId &upstream);
 
-    /// Returns how many leading blocks the upstream probably holds. Linear in the result.
+    /// Returns the number of leading blocks that the upstream probably holds. Complexity: linear in
+    /// the result.
     std::size_t match(const UpstreamId &upstream, std::span<const std::uint64_t> blocks,
                       TimePoint now) const;
 
@@ -39,16 +41,16 @@
         std::uint64_t m_hash = 0;
         TimePoint m_usedAt{};
     };
-    struct Memory
+    struct BlockList
     {
-        /// The most recently used first.
+        /// Most recently used first.
         std::list<Block> m_blocks;
         std::unordered_map<std::uint64_t, std::list<Block>::iterator> m_index;
     };
 
     std::size_t m_blocksPerUpstream;
     Duration m_maxAge;
-    std::unordered_map<UpstreamId, Memory> m_upstreams;
+    std::unordered_map<UpstreamId, BlockList> m_upstreams;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/policy/retry_budget.hpp
+++ b/include/gypsumdale/policy/retry_budget.hpp
@@ -13,28 +13,28 @@
 
 namespace gypsumdale {
 
-/// Header that tells the next layer which attempt this is and how many it may still add.
+/// Header that carries an AttemptInfo to the next layer.
 inline constexpr std::string_view attemptHeader = "X-Gypsumdale-Attempt";
 
 struct RetryBudgetSettings
 {
-    /// Retries and hedges allowed for each first attempt.
+    /// Retries and hedges earned by each first attempt.
     double m_ratio = 0.1;
-    /// Retries saved up at most, and what a quiet service starts with.
+    /// Maximum and initial number of retries in the budget.
     double m_maxTokens = 20.0;
     double m_initialTokens = 5.0;
 };
 
-/// The retries that one service may still send: a bucket filled by first attempts. A layer below
-/// that was told of fewer attempts left obeys those.
+/// Retry budget of one service: a token bucket filled by first attempts. A lower layer that
+/// received a smaller number of attempts left keeps to that number.
 class RetryBudget
 {
 public:
     explicit RetryBudget(RetryBudgetSettings settings = {});
 
-    /// Notes a first attempt, which earns a part of a retry. Constant.
+    /// Records a first attempt, which earns a fraction of a retry. Complexity: constant.
     void recordFirstAttempt();
-    /// Takes one retry out; false if there is none. Constant.
+    /// Takes one retry from the budget; returns false if none is left. Complexity: constant.
     bool tryTake();
     double available() const { return m_tokens; }
 
@@ -43,31 +43,33 @@
     double m_tokens;
 };
 
-/// What travels with a request from layer to layer.
+/// Attempt information that travels with a request from layer to layer.
 struct AttemptInfo
 {
-    /// 1 for the first.
+    /// Number of the attempt, from 1.
     std::uint32_t m_attempt = 1;
-    /// How many more the path below may make in all.
+    /// Number of further attempts that the lower layers may make in total.
     std::uint32_t m_attemptsLeft = 0;
-    /// How long the caller still waits; deadlines travel as durations, since clocks differ.
+    /// Time for which the caller still waits. A duration instead of a point in time, as clocks
+    /// differ.
     Duration m_timeLeft = Duration::max();
 };
 
-/// Writes the header's value: "attempt=2;left=1;ms=900". Constant.
+/// Formats the header's value: "attempt=2;left=1;ms=900". Complexity: constant.
 std::string toHeader(const AttemptInfo &info);
-/// Reads the header's value; nothing if it is malformed, when the caller counts as a first attempt.
+/// Parses the header's value. Returns nothing if it is malformed; the request then counts as a
+/// first attempt.
 std::optional<AttemptInfo> attemptFromHeader(std::string_view text);
 
-/// How far an attempt got before it failed.
+/// Progress of an attempt at the time of its failure.
 enum class AttemptOutcome {
     /// No byte can have reached the upstream.
     NothingSent,
-    /// The upstream said that it refused before it started.
+    /// The upstream reported that it refused the request before starting it.
     RefusedBeforeStart,
-    /// Something was sent and no answer began: it may have run.
+    /// Something was sent and no answer began, so the request may have run.
     SentNoAnswer,
-    /// An answer that matters to the caller began and broke off.
+    /// An answer that matters to the caller began and was interrupted.
     BrokenAnswer,
 };
 
@@ -78,24 +80,24 @@
         {AttemptOutcome::BrokenAnswer, "broken-answer"},
 }};
 
-/// What a profile says about trying again.
+/// Retry rules of a profile.
 struct RetryProfile
 {
     bool m_isRepeatable = false;
-    /// The answer so far can be given to another upstream to go on from.
+    /// Another upstream can continue the answer from what was received so far.
     bool m_canResume = false;
     bool m_allowsHedging = false;
-    /// An accepted job has to finish: a spent budget doesn't stop it, but slows it to the longest
-    /// backoff.
+    /// An accepted job must finish: an exhausted budget doesn't stop its retries, but delays each
+    /// by the longest backoff.
     bool m_mustFinish = false;
     std::uint32_t m_maxAttempts = 3;
     Duration m_baseBackoff = std::chrono::milliseconds(25);
     Duration m_maxBackoff = std::chrono::seconds(2);
-    /// How long to wait for the first token before a hedge is sent.
+    /// Time to wait for the first token before a hedge is sent.
     Duration m_hedgeAfter = std::chrono::milliseconds(500);
 };
 
-/// Try again after a pause; with the answer so far if it resumes.
+/// Retries after the backoff; continues the answer so far if m_isResume.
 struct Retry
 {
     Duration m_backoff{};
@@ -103,7 +105,7 @@
     AttemptInfo m_next;
 };
 
-/// Why there is no further attempt.
+/// Reason why there is no further attempt.
 enum class NoRetryReason {
     NotRepeatable,
     AnswerBegan,
@@ -131,7 +133,7 @@
 
 using RetryDecision = std::variant<Retry, NoRetry>;
 
-/// One failed attempt, or one that is slow, for decideHedge().
+/// A failed attempt, or for decideHedge() a slow one.
 struct AttemptState
 {
     AttemptOutcome m_outcome = AttemptOutcome::NothingSent;
@@ -140,21 +142,22 @@
     TimePoint m_deadline = TimePoint::max();
 };
 
-/// Returns the info of a request's first attempt: what the caller's layer left, or the profile's
-/// own number of attempts if that is less. Constant.
+/// Returns the info of a request's first attempt. The attempts left are those that the caller's
+/// layer allows, or the profile's maximum if that is less. Complexity: constant.
 AttemptInfo firstAttemptInfo(const RetryProfile &profile, const std::optional<AttemptInfo> &caller);
 
-/// Returns what to tell the layer below: the attempt and the time left, but no further attempts of
-/// its own, since this layer makes them; attempts would multiply otherwise. Constant.
+/// Returns the info to send to the layer below: the attempt and the time left, with no further
+/// attempts. This layer does the retries; retries on several layers would multiply. Complexity:
+/// constant.
 AttemptInfo downstreamAttemptInfo(const AttemptInfo &info, TimePoint deadline, TimePoint now);
 
-/// Decides whether a failed attempt is tried again, and takes one out of the budget if so. A
-/// request that must not repeat is tried again only where it can't have run. Constant.
+/// Decides whether a failed attempt is retried, and takes a retry from the budget if so. A request
+/// that isn't repeatable is retried only if it can't have run. Complexity: constant.
 RetryDecision decideRetry(const AttemptState &attempt, const RetryProfile &profile,
                           RetryBudget &budget, TimePoint now, pcg32 &random);
 
-/// Decides whether a second attempt is sent beside a slow one. Only for requests that may repeat,
-/// before any answer, and only if the profile enables it. Constant.
+/// Decides whether a second attempt is sent in parallel to a slow one. Only for repeatable
+/// requests, before any answer, and if the profile enables it. Complexity: constant.
 RetryDecision decideHedge(const AttemptState &attempt, const RetryProfile &profile,
                           RetryBudget &budget, TimePoint now);
 
--- a/include/gypsumdale/policy/routing.hpp
+++ b/include/gypsumdale/policy/routing.hpp
@@ -19,32 +19,33 @@
 
 namespace gypsumdale {
 
-/// One way of choosing an upstream. Each alternative has the member functions choose(),
-/// dispatched(), cacheEvent() and forget() as described at the free functions below.
+/// A policy for selecting an upstream. Each alternative has the member functions choose(),
+/// dispatched(), cacheEvent() and forget(), called by the free functions below.
 using RoutingPolicy = std::variant<RoundRobin, LeastOutstanding, PowerOfTwo, PrefixAffinity>;
 
-/// The routing policies by the name that settings choose them with.
+/// The routing policies by their names in the settings.
 using RoutingRegistry = Registry<RoutingPolicy, RoutingSettings>;
 
-/// Chooses among the candidates, or nothing if none is left. Leaving upstreams are never chosen;
-/// those already tried only if there is no other; the own data centre goes first, then the own
-/// region, unless the latency target can't be met there. Linear in the candidates.
+/// Selects one of the candidates; returns nothing if none is eligible. Leaving upstreams are never
+/// selected, and upstreams tried before only if there is no other. The own data centre is
+/// preferred, then the own region, unless the latency target can't be met there. Complexity: linear
+/// in the candidates.
 std::optional<UpstreamId> choose(RoutingPolicy &policy, const RoutingRequest &request,
                                  std::span<const Candidate> candidates, TimePoint now,
                                  pcg32 &random);
 
-/// Tells the policy that a request went to an upstream, so that it can remember its prefix.
+/// Records the dispatch of a request, so that the policy knows where its prefix is cached.
 void recordDispatch(RoutingPolicy &policy, const UpstreamId &upstream,
                     const RoutingRequest &request, TimePoint now);
 
-/// Tells the policy what an upstream's prefix cache gained or lost, late and with gaps.
+/// Applies a change of an upstream's prefix cache. Events may be late, and some may be missing.
 void applyCacheEvent(RoutingPolicy &policy, const CacheEvent &event, TimePoint now);
 
-/// Drops what the policy remembers of an upstream, when it left or started anew.
+/// Drops the policy's state of an upstream that left or restarted.
 void dropUpstreamState(RoutingPolicy &policy, const UpstreamId &upstream);
 
-/// Hashes a prompt block by block; each hash covers all blocks up to its own, so that equal hashes
-/// mean equal prefixes. A last incomplete block is left out. Linear in the prompt.
+/// Hashes a prompt in blocks. Each hash covers all blocks up to its own, so that equal hashes mean
+/// equal prefixes. An incomplete last block is ignored. Complexity: linear in the prompt.
 std::vector<std::uint64_t> prefixBlocks(std::string_view prompt, std::size_t blockBytes = 256);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/policy/routing_least_outstanding.hpp
+++ b/include/gypsumdale/policy/routing_least_outstanding.hpp
@@ -10,8 +10,8 @@
 
 namespace gypsumdale {
 
-/// Takes the upstream with the least load for its slots. All nodes that see the same old report
-/// take the same one, so it herds when reports lag.
+/// Selects the upstream with the least load relative to its slots. All nodes that have the same old
+/// report select the same upstream, so requests herd when reports lag.
 class LeastOutstanding
 {
 public:
--- a/include/gypsumdale/policy/routing_power_of_two.hpp
+++ b/include/gypsumdale/policy/routing_power_of_two.hpp
@@ -10,8 +10,8 @@
 
 namespace gypsumdale {
 
-/// Compares two upstreams drawn at random and takes the less loaded, so that nodes with the same
-/// old reports spread over the fleet.
+/// Selects the less loaded of two random upstreams, so that nodes with the same old reports spread
+/// their requests.
 class PowerOfTwo
 {
 public:
--- a/include/gypsumdale/policy/routing_prefix_affinity.hpp
+++ b/include/gypsumdale/policy/routing_prefix_affinity.hpp
@@ -12,9 +12,9 @@
 
 namespace gypsumdale {
 
-/// Weighs the prompt tokens that an upstream has in its cache against its load, price, reclaim risk
-/// and failures, all in seconds of first-token time, and takes the best of the holders of the
-/// prefix and a few drawn at random.
+/// Scores upstreams by the prompt tokens in their cache, their load, price, reclaim risk and
+/// failures, all in seconds of first-token time. Selects the best of those that hold the prefix and
+/// a few random ones.
 class PrefixAffinity
 {
 public:
@@ -27,12 +27,13 @@
     void cacheEvent(const CacheEvent &event, TimePoint now);
     void forget(const UpstreamId &upstream);
 
-    /// Returns the score of a candidate in seconds; less is better. Linear in the prompt's blocks.
+    /// Returns the score of a candidate in seconds; lower is better. Complexity: linear in the
+    /// prompt's blocks.
     double score(const RoutingRequest &request, const Candidate &candidate, TimePoint now) const;
 
 private:
     RoutingSettings m_settings;
-    PrefixCacheIndex m_memory;
+    PrefixCacheIndex m_cacheIndex;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/policy/routing_round_robin.hpp
+++ b/include/gypsumdale/policy/routing_round_robin.hpp
@@ -11,7 +11,7 @@
 
 namespace gypsumdale {
 
-/// Takes the upstreams in turn, whatever their load. A baseline.
+/// Selects the upstreams in turn, independent of their load. Serves as a baseline.
 class RoundRobin
 {
 public:
--- a/include/gypsumdale/policy/routing_settings.hpp
+++ b/include/gypsumdale/policy/routing_settings.hpp
@@ -7,28 +7,27 @@
 
 namespace gypsumdale {
 
-/// What the routing policies can be told. Weights are seconds of first-token time that one unit of
-/// the matter is worth.
+/// Settings of the routing policies. Weights are in seconds of first-token time per unit.
 struct RoutingSettings
 {
-    /// Bytes of prompt in one block of prefixBlocks(), and the tokens such a block stands for.
+    /// Block size of prefixBlocks() in bytes, and the number of tokens counted for a block.
     std::size_t m_blockBytes = 256;
     std::uint32_t m_blockTokens = 64;
-    /// How many blocks to remember for an upstream; the oldest go first.
+    /// Maximum number of blocks in the index for an upstream; the oldest are evicted.
     std::size_t m_blocksPerUpstream = 4096;
-    /// After this long a remembered block counts for nothing.
+    /// Age after which a block in the index is ignored.
     Duration m_prefixMaxAge = std::chrono::minutes(10);
-    /// Prompt tokens a second that an upstream computes, until measured.
+    /// Prompt tokens that an upstream processes per second, until measured.
     double m_prefillTokensPerSecond = 8000.0;
-    /// What each request already there delays the first token by, until measured.
+    /// Delay of the first token by each request already at the upstream, until measured.
     Duration m_delayPerQueuedRequest = std::chrono::milliseconds(20);
-    /// Seconds that a currency unit an hour is worth.
+    /// Weight of one currency unit per hour.
     double m_priceWeight = 0.0;
-    /// Seconds that the certainty of a reclaim within the hour is worth, per 1000 tokens expected.
+    /// Weight of a certain reclaim within the hour, per 1000 expected tokens.
     double m_reclaimWeight = 0.05;
-    /// Seconds that one recent failure is worth.
+    /// Weight of one recent failure.
     double m_failureWeight = 0.2;
-    /// How many random candidates are compared besides those that hold the prefix.
+    /// Number of random candidates compared in addition to those that hold the prefix.
     std::size_t m_randomCandidates = 2;
 };
 
--- a/include/gypsumdale/policy/service_rate.hpp
+++ b/include/gypsumdale/policy/service_rate.hpp
@@ -6,17 +6,17 @@
 
 namespace gypsumdale {
 
-/// Measures how many tokens a second a queue's dispatches stand for while something waits.
+/// Measures the rate, in tokens per second, at which a queue is served while requests are queued.
 class ServiceRate
 {
 public:
     explicit ServiceRate(Duration halfLife = std::chrono::seconds(3));
 
-    /// Notes work dispatched. Time in which nothing waits says nothing of the capacity and is left
-    /// out. Constant.
+    /// Records dispatched work. Times with an empty queue are left out, as they don't show the
+    /// capacity. Complexity: constant.
     void recordServed(std::uint64_t tokens, TimePoint now, bool isBacklogged);
 
-    /// Returns tokens a second, or 0 while too little was seen.
+    /// Returns the tokens per second, or 0 if too little was measured.
     double tokensPerSecond() const;
 
 private:
--- a/include/gypsumdale/policy/token_counters.hpp
+++ b/include/gypsumdale/policy/token_counters.hpp
@@ -7,45 +7,46 @@
 
 namespace gypsumdale {
 
-/// Tokens served per member by one process since its start. A value never falls.
+/// Tokens served per member by one process since its start. Values never decrease.
 using TokenCounts = std::map<MemberId, std::uint64_t>;
 
-/// The weighted virtual token counters of a data centre's members, as one entry VM sees them: its
-/// own exact counts plus what the peers' heartbeats told last. Service is tokens divided by weight.
+/// Weighted virtual token counters of a data centre's members from the view of one entry VM: its
+/// own exact counts plus the last heartbeats of its peers. Service is tokens divided by weight.
 class TokenCounters
 {
 public:
-    /// Sets a member's weight; the service it had so far stays. Weights below a thousandth count as
-    /// a thousandth. Logarithmic.
+    /// Sets a member's weight; service received so far is kept. The minimum weight is 0.001.
+    /// Complexity: logarithmic.
     void setWeight(const MemberId &member, double weight);
     double weight(const MemberId &member) const;
 
-    /// Adds tokens served by this process. Logarithmic.
+    /// Adds tokens served by this process. Complexity: logarithmic.
     void charge(const MemberId &member, std::uint64_t tokens);
 
-    /// Corrects an earlier charge once the real number is known. Too little is charged now; too
-    /// much is kept and set off against the member's next charges, since the counts never fall.
-    /// Logarithmic.
+    /// Corrects an earlier charge once the actual number is known. A missing amount is charged now.
+    /// An excess is kept and deducted from the member's next charges, as the counts never decrease.
+    /// Complexity: logarithmic.
     void correctCharge(const MemberId &member, std::uint64_t charged, std::uint64_t actual);
 
-    /// Takes over what a peer has served in all since its start. Counts that fell are late messages
-    /// and ignored; a higher incarnation starts from its counts as new service, while the service
-    /// known from the old one stays; a lower one is ignored. The first message ever heard from a
-    /// peer sets the base and moves nobody, or else a node that starts would see the whole past as
-    /// one jump. Linear in the counts.
+    /// Applies a peer's total counts since its start. Counts that decreased are from delayed
+    /// messages and ignored. With a higher incarnation the counts are new service on top of the
+    /// service of the previous one; a lower incarnation is ignored. The first message from a peer
+    /// only sets the baseline, as otherwise a node that starts would count the whole past at once.
+    /// Complexity: linear in the counts.
     void mergePeer(const NodeId &peer, std::uint64_t incarnation, const TokenCounts &counts);
 
-    /// Lifts a member that comes back from idleness to at least this service, so that it can't draw
-    /// on the time it was away. Logarithmic.
+    /// Raises a member that was idle to at least this service, so that it gets no credit for the
+    /// idle time. Complexity: logarithmic.
     void raiseService(const MemberId &member, double service);
 
-    /// Returns the virtual service of a member: its tokens by weight and its lifts. Logarithmic.
+    /// Returns the virtual service of a member: tokens by weight, including raises. Complexity:
+    /// logarithmic.
     double service(const MemberId &member) const;
 
-    /// Returns the service of the member that had most. Constant.
+    /// Returns the service of the most served member. Complexity: constant.
     double highestService() const { return m_highest; }
 
-    /// Returns what this process has served in all, for its heartbeats.
+    /// Returns the total counts of this process, for its heartbeats.
     const TokenCounts &ownCounts() const { return m_own; }
 
 private:
--- a/include/gypsumdale/policy/upstream_measurements.hpp
+++ b/include/gypsumdale/policy/upstream_measurements.hpp
@@ -6,18 +6,17 @@
 
 namespace gypsumdale {
 
-/// What this process measured at one upstream: smoothed times of tokens, and failures. Failures and
-/// the time to the first token fade; an upstream that was slow would never be tried again if that
-/// were not forgotten.
+/// Measurements of this process at one upstream: smoothed token times, and failures. Failures and
+/// the first-token time decay, as an upstream that was slow would otherwise never be tried again.
 class UpstreamMeasurements
 {
 public:
     void recordFirstTokenTime(Duration taken, TimePoint now);
-    /// So many tokens came in the time since the ones before.
+    /// Records a number of tokens and the time since the previous ones.
     void recordTokenInterval(std::uint32_t count, Duration passed);
     void recordFailure(TimePoint now);
 
-    /// Zero while unknown, as the time between tokens.
+    /// Both times are zero if unknown.
     Duration firstToken(TimePoint now) const;
     Duration betweenTokens() const;
     double failures(TimePoint now) const;
--- a/include/gypsumdale/policy/upstream_report.hpp
+++ b/include/gypsumdale/policy/upstream_report.hpp
@@ -7,18 +7,19 @@
 
 namespace gypsumdale {
 
-/// What is known of an upstream from its probes, the VM list and the price list.
+/// State of an upstream, from its probes, the VM list and the price list.
 struct UpstreamReport
 {
     UpstreamId m_upstream;
-    /// Counts the upstream's restarts; a new one forgets what was measured and cached.
+    /// Increases when the upstream restarts; measurements and cache state of older incarnations are
+    /// dropped.
     std::uint64_t m_incarnation = 0;
     DataCentreId m_dataCentre;
     RegionId m_region;
     std::uint32_t m_slots = 1;
     std::uint32_t m_running = 0;
     std::uint32_t m_queued = 0;
-    /// When the upstream made the report, on this process's clock; min() while there is none.
+    /// Time of the upstream's report on this process's clock; min() if there is none.
     TimePoint m_reportedAt = TimePoint::min();
     double m_pricePerHour = 0.0;
     bool m_isReclaimable = false;
@@ -28,13 +29,13 @@
 
 /// How an attempt at an upstream ended, for the limits.
 enum class AttemptEnd {
-    /// The whole answer came.
+    /// The complete answer was received.
     Completed,
-    /// The upstream failed or went silent: counts against it.
+    /// The upstream failed or was silent; counts as a failure.
     Failed,
-    /// It refused before it started: counts against it as well.
+    /// The upstream refused the request before starting it; counts as a failure.
     Refused,
-    /// The caller went away or the deadline passed: says nothing of the upstream.
+    /// The caller disconnected or the deadline passed; shows nothing about the upstream.
     Abandoned,
 };
 
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// How much later than told clients may come back, so that they don't all come at once.
+/// Random addition to a retry-after, as a share of it, so that clients don't all return at the same
+/// time.
 constexpr double retryJitter = 0.25;
 constexpr Duration noUpstreamRetryAfter = std::chrono::seconds(1);
 constexpr Duration drainingRetryAfter = std::chrono::milliseconds(200);
@@ -15,9 +16,9 @@
 } // namespace
 
 AdmissionController::AdmissionController(const Builder &builder)
-    : m_place(builder.m_place)
+    : m_location(builder.m_location)
     , m_settings(builder.m_settings)
-    , m_upstreams(builder.m_place, builder.m_settings)
+    , m_upstreams(builder.m_location, builder.m_settings)
     , m_routing(builder.m_routing)
     , m_random(builder.m_seed)
     , m_queue(builder.m_settings.m_queue)
@@ -64,11 +65,11 @@
     AdmissionCommands commands;
     if (m_running.contains(request.m_id))
         return commands;
-    if (const auto refused = refuseAtOnce(request)) {
+    if (const auto refused = refuseImmediately(request)) {
         commands.emplace_back(*refused);
         return commands;
     }
-    if (m_queue.waiting() >= m_settings.m_maxWaiting && !makeRoom(request.m_member, commands)) {
+    if (m_queue.waiting() >= m_settings.m_maxWaiting && !evictQueued(request.m_member, commands)) {
         commands.emplace_back(fullRefusal(request, ErrorId::QueueFull, now));
         return commands;
     }
@@ -82,7 +83,7 @@
     return commands;
 }
 
-std::optional<Refuse> AdmissionController::refuseAtOnce(const WaitingRequest &request)
+std::optional<Refuse> AdmissionController::refuseImmediately(const WaitingRequest &request)
 {
     if (m_isDraining)
         return Refuse{request.m_id, ErrorId::Draining, retryAfter(drainingRetryAfter)};
@@ -97,7 +98,7 @@
     return Refuse{request.m_id, error, retryAfter(wait)};
 }
 
-bool AdmissionController::makeRoom(const MemberId &member, AdmissionCommands &commands)
+bool AdmissionController::evictQueued(const MemberId &member, AdmissionCommands &commands)
 {
     const std::optional<WaitingRequest> dropped = m_queue.evictFor(member);
     if (!dropped)
@@ -112,8 +113,8 @@
     m_upstreams.refresh(now);
     if (!m_upstreams.hasNonLeavingUpstream())
         refuseWaiting(ErrorId::NoUpstream, noUpstreamRetryAfter, commands);
-    // First what is too late even if dispatched now, so that no slot is spent on it; after the
-    // dispatches what would have to wait too long.
+    // Expires requests that are late even if dispatched now, so that no slot is spent on them;
+    // after the dispatches, those whose queueing time would be too long.
     expire(now, 0.0, commands);
     dispatchWaiting(now, commands);
     m_rate.recordServed(0, now, m_queue.waiting() > 0);
@@ -139,7 +140,7 @@
     std::vector<Candidate> free = m_upstreams.freeCandidates(mayLeaveRegion, now);
     m_slots = m_settings.m_headroom > 0.0 ? m_upstreams.countSlots(now) : SlotCount{};
     const auto filter = [this](const MemberId &member) {
-        return mayRun(member);
+        return canRun(member);
     };
     while (!free.empty()) {
         std::optional<WaitingRequest> request = m_queue.next(now, filter);
@@ -172,8 +173,8 @@
                                                    TimePoint now) const
 {
     const bool hasTarget = request.m_firstTokenDeadline != TimePoint::max();
-    return RoutingRequest{m_place.m_dataCentre,
-                          m_place.m_region,
+    return RoutingRequest{m_location.m_dataCentre,
+                          m_location.m_region,
                           request.m_promptTokens,
                           request.m_expectedTokens,
                           hasTarget ? request.m_firstTokenDeadline - now : Duration::max(),
@@ -279,19 +280,19 @@
     return fromSeconds(m_queue.tokensAhead(member, priority) / rate);
 }
 
-bool AdmissionController::mayRun(const MemberId &member) const
+bool AdmissionController::canRun(const MemberId &member) const
 {
     if (m_members.isAtLimit(member))
         return false;
-    const double kept = m_settings.m_headroom * m_slots.m_available;
-    const bool leavesHeadroom = m_slots.m_used + kept < m_slots.m_available || kept == 0.0;
+    const double reserved = m_settings.m_headroom * m_slots.m_available;
+    const bool leavesHeadroom = m_slots.m_used + reserved < m_slots.m_available || reserved == 0.0;
     return leavesHeadroom || m_members.isBelowShare(member, m_slots.m_available)
            || isBehind(member);
 }
 
 bool AdmissionController::isBehind(const MemberId &member) const
 {
-    // One that is behind in tokens, because its requests reach few entry VMs, has to catch up here.
+    // A member whose requests reach few entry VMs gets fewer tokens overall, and catches up here.
     const double behind = m_queue.highestService() - m_queue.service(member);
     return behind > m_settings.m_queue.m_priorityLead;
 }
@@ -314,19 +315,19 @@
 
 AdmissionController::Builder &AdmissionController::Builder::node(NodeId node)
 {
-    m_place.m_node = std::move(node);
+    m_location.m_node = std::move(node);
     return *this;
 }
 
 AdmissionController::Builder &AdmissionController::Builder::dataCentre(DataCentreId dataCentre)
 {
-    m_place.m_dataCentre = std::move(dataCentre);
+    m_location.m_dataCentre = std::move(dataCentre);
     return *this;
 }
 
 AdmissionController::Builder &AdmissionController::Builder::region(RegionId region)
 {
-    m_place.m_region = std::move(region);
+    m_location.m_region = std::move(region);
     return *this;
 }
 
--- a/src/policy/admission_upstreams.cpp
+++ b/src/policy/admission_upstreams.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// An engine that queues more than this part of its slots is busy with others' work.
-constexpr std::uint32_t queuedPart = 4;
+/// An engine that queues more than its slots divided by this is busy with requests of other VMs.
+constexpr std::uint32_t maxQueuedDivisor = 4;
 
 Duration reportAge(const UpstreamReport &state, TimePoint now)
 {
@@ -17,19 +17,20 @@
 
 } // namespace
 
-AdmissionUpstreams::AdmissionUpstreams(AdmissionLocation place, const AdmissionSettings &settings)
-    : m_place(std::move(place))
+AdmissionUpstreams::AdmissionUpstreams(AdmissionLocation location,
+                                       const AdmissionSettings &settings)
+    : m_location(std::move(location))
     , m_settings(settings)
-    , m_peers(m_place.m_node, settings.m_slots, settings.m_peerMaxAge)
+    , m_peers(m_location.m_node, settings.m_slots, settings.m_peerMaxAge)
     , m_outlier(settings.m_outlier)
 {}
 
-// --- what others say --------------------------------------------------------------------------
+// --- peers and reports ------------------------------------------------------------------------
 
 void AdmissionUpstreams::setNodes(std::vector<NodeId> nodes)
 {
     m_peers.setNodes(std::move(nodes));
-    recountAll();
+    recomputePeerCharges();
 }
 
 bool AdmissionUpstreams::mergePeer(const NodeId &peer, std::uint64_t incarnation,
@@ -39,23 +40,23 @@
         return false;
     if (m_peers.isStale(peer)) {
         m_peers.merge(peer, incarnation, inFlight, now);
-        recountAll();
+        recomputePeerCharges();
         return true;
     }
-    // Only what changed is counted anew: a full count for each heartbeat costs nodes times
-    // upstreams.
-    InFlightByUpstream touched = m_peers.reportOf(peer);
-    touched.insert(inFlight.begin(), inFlight.end());
+    // Updates only the affected upstreams, as recomputing all for each heartbeat would cost nodes
+    // times upstreams.
+    InFlightByUpstream affected = m_peers.reportOf(peer);
+    affected.insert(inFlight.begin(), inFlight.end());
     const auto chargeOf = [&](const Upstream &upstream) {
         return m_peers.chargeOf(peer, upstream.m_state.m_upstream, upstream.m_state.m_slots);
     };
-    for (const auto &[id, count] : touched) {
+    for (const auto &[id, count] : affected) {
         const auto found = m_upstreams.find(id);
         if (found != m_upstreams.end())
             found->second.m_peers -= std::min(found->second.m_peers, chargeOf(found->second));
     }
     m_peers.merge(peer, incarnation, inFlight, now);
-    for (const auto &[id, count] : touched) {
+    for (const auto &[id, count] : affected) {
         const auto found = m_upstreams.find(id);
         if (found != m_upstreams.end())
             found->second.m_peers += chargeOf(found->second);
@@ -63,7 +64,7 @@
     return true;
 }
 
-void AdmissionUpstreams::recountAll()
+void AdmissionUpstreams::recomputePeerCharges()
 {
     for (auto &[id, upstream] : m_upstreams)
         upstream.m_peers = m_peers.chargeAt(id, upstream.m_state.m_slots);
@@ -107,7 +108,7 @@
 {
     m_outlier.checkSilence(now);
     if (m_peers.markStalePeers(now))
-        recountAll();
+        recomputePeerCharges();
 }
 
 // --- own requests -----------------------------------------------------------------------------
@@ -149,12 +150,12 @@
     --upstream.m_own;
     upstream.m_history.note(now, upstream.m_own, m_settings.m_slots.m_window);
     if (incarnation == upstream.m_state.m_incarnation)
-        noteEnd(upstream, end, now);
+        recordEnd(upstream, end, now);
     if (upstream.m_isRemoved && upstream.m_own == 0)
         m_upstreams.erase(found);
 }
 
-void AdmissionUpstreams::noteEnd(Upstream &upstream, AttemptEnd end, TimePoint now)
+void AdmissionUpstreams::recordEnd(Upstream &upstream, AttemptEnd end, TimePoint now)
 {
     const UpstreamId &id = upstream.m_state.m_upstream;
     switch (end) {
@@ -211,16 +212,16 @@
 std::uint32_t AdmissionUpstreams::availableSlots(const Upstream &upstream, TimePoint now) const
 {
     const UpstreamReport &state = upstream.m_state;
-    if (state.m_dataCentre != m_place.m_dataCentre)
-        return hasForeignSlot(upstream, now) ? foreignAllowance(state) : upstream.m_own;
+    if (state.m_dataCentre != m_location.m_dataCentre)
+        return hasRemoteSlot(upstream, now) ? remoteAllowance(state) : upstream.m_own;
     const auto nodes = m_peers.nodeCount();
-    const std::uint32_t lent =
+    const std::uint32_t evenShare =
             evenSlotShare(state.m_slots, nodes, m_peers.ownRank(state.m_upstream));
-    // What peers keep as their own headroom isn't idle: nodes that took it for free would borrow
-    // each other's headroom away.
+    // The headroom that peers keep for themselves isn't idle; nodes that counted it as free would
+    // borrow each other's headroom.
     const auto peers =
             static_cast<std::uint32_t>(upstream.m_peers * (1.0 + 2.0 * m_settings.m_headroom));
-    return std::max(lent, state.m_slots - std::min(state.m_slots, peers));
+    return std::max(evenShare, state.m_slots - std::min(state.m_slots, peers));
 }
 
 bool AdmissionUpstreams::isUsable(const Upstream &upstream, TimePoint now) const
@@ -235,17 +236,17 @@
 
 bool AdmissionUpstreams::hasSlot(const Upstream &upstream, TimePoint now) const
 {
-    if (upstream.m_state.m_dataCentre == m_place.m_dataCentre)
+    if (upstream.m_state.m_dataCentre == m_location.m_dataCentre)
         return hasLocalSlot(upstream, now);
-    return hasForeignSlot(upstream, now);
+    return hasRemoteSlot(upstream, now);
 }
 
 bool AdmissionUpstreams::hasLocalSlot(const Upstream &upstream, TimePoint now) const
 {
     const UpstreamReport &state = upstream.m_state;
     const bool isFresh = reportAge(state, now) <= m_settings.m_peerMaxAge;
-    const std::uint32_t mostQueued = std::max(state.m_slots / queuedPart, 1U);
-    if (isFresh && state.m_queued > mostQueued && upstream.m_own > 0)
+    const std::uint32_t maxQueued = std::max(state.m_slots / maxQueuedDivisor, 1U);
+    if (isFresh && state.m_queued > maxQueued && upstream.m_own > 0)
         return false;
     SlotView view;
     view.m_slots = state.m_slots;
@@ -257,19 +258,19 @@
     return canDispatch(view);
 }
 
-bool AdmissionUpstreams::hasForeignSlot(const Upstream &upstream, TimePoint now) const
+bool AdmissionUpstreams::hasRemoteSlot(const Upstream &upstream, TimePoint now) const
 {
     const UpstreamReport &state = upstream.m_state;
     if (reportAge(state, now) > m_settings.m_reportMaxAge)
         return false;
-    if (upstream.m_own >= foreignAllowance(state))
+    if (upstream.m_own >= remoteAllowance(state))
         return false;
     const auto nodes = m_peers.nodeCount();
-    const std::uint32_t unseen = nodes * (upstream.m_recent.countAfter(state.m_reportedAt) + 1);
-    return state.m_running + state.m_queued + unseen <= state.m_slots;
+    const std::uint32_t unreported = nodes * (upstream.m_recent.countAfter(state.m_reportedAt) + 1);
+    return state.m_running + state.m_queued + unreported <= state.m_slots;
 }
 
-std::uint32_t AdmissionUpstreams::foreignAllowance(const UpstreamReport &state) const
+std::uint32_t AdmissionUpstreams::remoteAllowance(const UpstreamReport &state) const
 {
     const auto nodes = m_peers.nodeCount();
     const auto share = static_cast<std::uint32_t>(m_settings.m_slots.m_spillShare * state.m_slots);
@@ -285,7 +286,7 @@
     result.m_region = state.m_region;
     result.m_slots = state.m_slots;
     result.m_ownInFlight = upstream.m_own;
-    result.m_peersInFlight = state.m_dataCentre == m_place.m_dataCentre ? upstream.m_peers : 0;
+    result.m_peersInFlight = state.m_dataCentre == m_location.m_dataCentre ? upstream.m_peers : 0;
     result.m_reportedRunning = state.m_running;
     result.m_reportedQueued = state.m_queued;
     result.m_reportAge = reportAge(state, now);
@@ -317,16 +318,16 @@
 
 std::vector<Candidate> AdmissionUpstreams::freeCandidates(bool mayLeaveRegion, TimePoint now) const
 {
-    const auto isNear = [this](const Upstream &upstream) {
-        return upstream.m_state.m_region == m_place.m_region;
+    const auto isInRegion = [this](const Upstream &upstream) {
+        return upstream.m_state.m_region == m_location.m_region;
     };
-    const bool hasNearOne =
+    const bool hasUsableInRegion =
             std::any_of(m_upstreams.begin(), m_upstreams.end(), [&](const auto &entry) {
-                return isNear(entry.second) && isUsable(entry.second, now);
+                return isInRegion(entry.second) && isUsable(entry.second, now);
             });
     std::vector<Candidate> result;
     for (const auto &[id, upstream] : m_upstreams) {
-        if (!isNear(upstream) && hasNearOne && !mayLeaveRegion)
+        if (!isInRegion(upstream) && hasUsableInRegion && !mayLeaveRegion)
             continue;
         if (isFree(upstream, now))
             result.push_back(candidate(upstream, now));
--- a/src/policy/detail/routing_filter.cpp
+++ b/src/policy/detail/routing_filter.cpp
@@ -42,27 +42,27 @@
 CandidatePointers eligibleCandidates(const RoutingRequest &request,
                                      std::span<const Candidate> candidates)
 {
-    CandidatePointers staying;
+    CandidatePointers remaining;
     for (const Candidate &candidate : candidates) {
         if (!candidate.m_isLeaving)
-            staying.push_back(&candidate);
+            remaining.push_back(&candidate);
     }
-    CandidatePointers fresh = filtered(
-            staying, [&request](const Candidate *one) { return !wasTried(request, *one); });
-    if (fresh.empty())
-        fresh = staying;
-    CandidatePointers near = filtered(fresh, [&request](const Candidate *one) {
+    CandidatePointers untried = filtered(
+            remaining, [&request](const Candidate *one) { return !wasTried(request, *one); });
+    if (untried.empty())
+        untried = remaining;
+    CandidatePointers local = filtered(untried, [&request](const Candidate *one) {
         return one->m_dataCentre == request.m_dataCentre;
     });
-    // Slow ones near by stay in the choice: left out, they would never be measured again.
-    if (someCanServe(request, near))
-        return filtered(near, [](const Candidate *one) { return hasFreeSlot(*one); });
-    CandidatePointers region = filtered(fresh, [&request](const Candidate *one) {
+    // Slow upstreams nearby stay eligible; otherwise they would never be measured again.
+    if (someCanServe(request, local))
+        return filtered(local, [](const Candidate *one) { return hasFreeSlot(*one); });
+    CandidatePointers region = filtered(untried, [&request](const Candidate *one) {
         return one->m_region == request.m_region && canServe(request, *one);
     });
     if (!region.empty())
         return region;
-    return fresh;
+    return untried;
 }
 
 double relativeLoad(const Candidate &candidate)
--- a/src/policy/fair_queue.cpp
+++ b/src/policy/fair_queue.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A reserved share of one would mean that higher classes get nothing.
-constexpr double largestReservedShare = 0.9;
+/// With a reserved share of 1 the higher classes would get nothing.
+constexpr double maxReservedShare = 0.9;
 
 bool arrivedBefore(const WaitingRequest &left, const WaitingRequest &right)
 {
@@ -22,7 +22,7 @@
 FairQueue::FairQueue(FairQueueSettings settings)
     : m_settings(settings)
 {
-    m_settings.m_reservedShare = std::clamp(m_settings.m_reservedShare, 0.0, largestReservedShare);
+    m_settings.m_reservedShare = std::clamp(m_settings.m_reservedShare, 0.0, maxReservedShare);
 }
 
 void FairQueue::setWeight(const MemberId &member, double weight)
@@ -37,17 +37,17 @@
         return;
     Member &member = m_members[id];
     if (member.m_waiting == 0) {
-        const double mostCredit = m_counters.highestService() - m_settings.m_maxCredit;
-        m_counters.raiseService(id, std::max(m_virtualTime, mostCredit));
+        const double creditLimit = m_counters.highestService() - m_settings.m_maxCredit;
+        m_counters.raiseService(id, std::max(m_virtualTime, creditLimit));
     }
     const std::uint64_t cost = expectedCost(request);
     Lane &lane = member.m_lanes[request.m_priority];
     lane.m_tokens += cost;
     m_waitingTokens += cost;
     ++member.m_waiting;
-    const auto place = std::upper_bound(lane.m_requests.begin(), lane.m_requests.end(), request,
-                                        arrivedBefore);
-    lane.m_requests.insert(place, std::move(request));
+    const auto position = std::upper_bound(lane.m_requests.begin(), lane.m_requests.end(), request,
+                                           arrivedBefore);
+    lane.m_requests.insert(position, std::move(request));
 }
 
 std::optional<WaitingRequest> FairQueue::next(TimePoint now)
@@ -55,25 +55,25 @@
     return next(now, [](const MemberId &) { return true; });
 }
 
-std::optional<WaitingRequest> FairQueue::next(TimePoint, const MemberFilter &mayRun)
+std::optional<WaitingRequest> FairQueue::next(TimePoint, const MemberFilter &canRun)
 {
-    const std::optional<MemberId> id = chooseMember(mayRun);
+    const std::optional<MemberId> id = chooseMember(canRun);
     if (!id)
         return std::nullopt;
     Member &member = m_members[*id];
     const int priority = chooseLane(member);
-    settleCredits(member, priority, expectedCost(member.m_lanes[priority].m_requests.front()));
-    WaitingRequest request = take(*id, priority);
+    updateCredits(member, priority, expectedCost(member.m_lanes[priority].m_requests.front()));
+    WaitingRequest request = popFront(*id, priority);
     m_counters.charge(*id, request.m_promptTokens);
     return request;
 }
 
-std::optional<MemberId> FairQueue::chooseMember(const MemberFilter &mayRun)
+std::optional<MemberId> FairQueue::chooseMember(const MemberFilter &canRun)
 {
     double least = std::numeric_limits<double>::max();
     std::vector<const MemberId *> ready;
     for (const auto &[id, member] : m_members) {
-        if (member.m_waiting == 0 || !mayRun(id))
+        if (member.m_waiting == 0 || !canRun(id))
             continue;
         ready.push_back(&id);
         least = std::min(least, m_counters.service(id));
@@ -136,7 +136,7 @@
     return best;
 }
 
-void FairQueue::settleCredits(Member &member, int chosen, std::uint64_t cost) const
+void FairQueue::updateCredits(Member &member, int chosen, std::uint64_t cost) const
 {
     const auto tokens = static_cast<double>(cost);
     Lane &lane = member.m_lanes[chosen];
@@ -151,19 +151,19 @@
         at->second.m_credit += each;
 }
 
-WaitingRequest FairQueue::take(const MemberId &id, int priority)
+WaitingRequest FairQueue::popFront(const MemberId &id, int priority)
 {
     Member &member = m_members[id];
     Lane &lane = member.m_lanes[priority];
     WaitingRequest request = std::move(lane.m_requests.front());
     lane.m_requests.pop_front();
-    forget(member, lane, request);
+    removeFromTotals(member, lane, request);
     if (lane.m_requests.empty())
         member.m_lanes.erase(priority);
     return request;
 }
 
-void FairQueue::forget(Member &member, Lane &lane, const WaitingRequest &request)
+void FairQueue::removeFromTotals(Member &member, Lane &lane, const WaitingRequest &request)
 {
     const std::uint64_t cost = expectedCost(request);
     lane.m_tokens -= cost;
@@ -176,35 +176,35 @@
                                               const FirstTokenEstimate &firstToken)
 {
     std::vector<ExpiredRequest> result;
-    const Outlook outlook{now, tokensPerSecond, static_cast<double>(m_waitingTokens), firstToken};
+    const ExpiryInput input{now, tokensPerSecond, static_cast<double>(m_waitingTokens), firstToken};
     for (auto &[id, member] : m_members) {
         const double factor = shareFactor(id);
         double own = 0.0;
         for (auto &[priority, lane] : member.m_lanes)
-            expireLane(member, lane, outlook, factor, own, result);
+            expireLane(member, lane, input, factor, own, result);
         std::erase_if(member.m_lanes,
                       [](const auto &entry) { return entry.second.m_requests.empty(); });
     }
     return result;
 }
 
-void FairQueue::expireLane(Member &member, Lane &lane, const Outlook &outlook, double factor,
+void FairQueue::expireLane(Member &member, Lane &lane, const ExpiryInput &input, double factor,
                            double &own, std::vector<ExpiredRequest> &result)
 {
     std::deque<WaitingRequest> kept;
     for (WaitingRequest &request : lane.m_requests) {
-        const double ahead = std::min(own * factor, outlook.m_allTokens);
-        const Duration wait = outlook.m_tokensPerSecond > 0.0
-                                      ? fromSeconds(ahead / outlook.m_tokensPerSecond)
+        const double ahead = std::min(own * factor, input.m_allTokens);
+        const Duration wait = input.m_tokensPerSecond > 0.0
+                                      ? fromSeconds(ahead / input.m_tokensPerSecond)
                                       : Duration{};
-        const Duration answer = outlook.m_firstToken ? outlook.m_firstToken(request) : Duration{};
-        if (request.m_firstTokenDeadline - outlook.m_now > wait + answer) {
+        const Duration answer = input.m_firstToken ? input.m_firstToken(request) : Duration{};
+        if (request.m_firstTokenDeadline - input.m_now > wait + answer) {
             own += static_cast<double>(expectedCost(request));
             kept.push_back(std::move(request));
             continue;
         }
         result.push_back(ExpiredRequest{request.m_id, wait});
-        forget(member, lane, request);
+        removeFromTotals(member, lane, request);
     }
     lane.m_requests = std::move(kept);
 }
@@ -242,7 +242,7 @@
     const auto lane = std::prev(entry.m_lanes.end());
     WaitingRequest request = std::move(lane->second.m_requests.back());
     lane->second.m_requests.pop_back();
-    forget(entry, lane->second, request);
+    removeFromTotals(entry, lane->second, request);
     if (lane->second.m_requests.empty())
         entry.m_lanes.erase(lane);
     return request;
@@ -262,7 +262,7 @@
             continue;
         const WaitingRequest taken = std::move(*at);
         lane.m_requests.erase(at);
-        forget(member, lane, taken);
+        removeFromTotals(member, lane, taken);
         if (lane.m_requests.empty())
             member.m_lanes.erase(priority);
         return true;
--- a/src/policy/first_token_times.cpp
+++ b/src/policy/first_token_times.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr double gain = 0.1;
-constexpr double fadingHalfLifeSeconds = 2.0;
+constexpr double smoothingFactor = 0.1;
+constexpr double halfLifeSeconds = 2.0;
 
 } // namespace
 
@@ -16,8 +16,9 @@
     const auto [found, isNew] = m_entries.try_emplace(profile);
     Entry &entry = found->second;
     const double seconds = toSeconds(taken);
-    entry.m_seconds = isNew ? seconds : entry.m_seconds + gain * (seconds - entry.m_seconds);
-    entry.m_notedAt = now;
+    entry.m_seconds =
+            isNew ? seconds : entry.m_seconds + smoothingFactor * (seconds - entry.m_seconds);
+    entry.m_measuredAt = now;
 }
 
 Duration FirstTokenTimes::estimate(const ProfileId &profile, TimePoint now) const
@@ -25,8 +26,8 @@
     const auto found = m_entries.find(profile);
     if (found == m_entries.end())
         return Duration{};
-    const double age = toSeconds(now - found->second.m_notedAt);
-    const double seconds = found->second.m_seconds * std::exp2(-age / fadingHalfLifeSeconds);
+    const double age = toSeconds(now - found->second.m_measuredAt);
+    const double seconds = found->second.m_seconds * std::exp2(-age / halfLifeSeconds);
     return fromSeconds(seconds);
 }
 
--- a/src/policy/outlier.cpp
+++ b/src/policy/outlier.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Keeps the doubling of ejection times from overflowing.
-constexpr std::uint32_t mostDoublings = 16;
+/// Prevents an overflow when ejection times are doubled.
+constexpr std::uint32_t maxDoublings = 16;
 
 } // namespace
 
@@ -19,7 +19,7 @@
 {
     Entry &entry = m_entries[upstream];
     if (entry.m_outstanding == 0)
-        entry.m_heardAt = now;
+        entry.m_lastDataAt = now;
     ++entry.m_outstanding;
     if (entry.m_isEjected)
         entry.m_isProbing = true;
@@ -27,7 +27,7 @@
 
 void OutlierDetector::heard(const UpstreamId &upstream, TimePoint now)
 {
-    m_entries[upstream].m_heardAt = now;
+    m_entries[upstream].m_lastDataAt = now;
 }
 
 void OutlierDetector::onSuccess(const UpstreamId &upstream, TimePoint now)
@@ -36,22 +36,22 @@
     const std::uint32_t left = entry.m_outstanding - std::min(entry.m_outstanding, 1U);
     entry = Entry{};
     entry.m_outstanding = left;
-    entry.m_heardAt = now;
+    entry.m_lastDataAt = now;
 }
 
 void OutlierDetector::onFailure(const UpstreamId &upstream, TimePoint now)
 {
     Entry &entry = m_entries[upstream];
     entry.m_outstanding -= std::min(entry.m_outstanding, 1U);
-    entry.m_heardAt = now;
+    entry.m_lastDataAt = now;
     ++entry.m_failures;
     if (entry.m_isEjected) {
-        // Failures of attempts that began before the ejection tell nothing new.
+        // Failures of attempts that began before the ejection don't count again.
         if (entry.m_isProbing)
             eject(entry, now);
         return;
     }
-    if (entry.m_failures >= m_settings.m_failuresToEject && mayEjectOne())
+    if (entry.m_failures >= m_settings.m_failuresToEject && canEjectOne())
         eject(entry, now);
 }
 
@@ -68,10 +68,10 @@
         return;
     for (auto &[upstream, entry] : m_entries) {
         const bool isSilent =
-                entry.m_outstanding > 0 && now - entry.m_heardAt >= m_settings.m_silenceLimit;
+                entry.m_outstanding > 0 && now - entry.m_lastDataAt >= m_settings.m_silenceLimit;
         if (!isSilent || (entry.m_isEjected && !entry.m_isProbing))
             continue;
-        if (entry.m_isEjected || mayEjectOne())
+        if (entry.m_isEjected || canEjectOne())
             eject(entry, now);
     }
 }
@@ -102,17 +102,17 @@
                           [](const auto &entry) { return entry.second.m_isEjected; }));
 }
 
-bool OutlierDetector::mayEjectOne() const
+bool OutlierDetector::canEjectOne() const
 {
     const std::size_t ejected = ejectedCount() + 1;
-    const double most = m_settings.m_maxEjectedShare * static_cast<double>(m_fleetSize);
-    return ejected < m_fleetSize && static_cast<double>(ejected) <= most;
+    const double limit = m_settings.m_maxEjectedShare * static_cast<double>(m_fleetSize);
+    return ejected < m_fleetSize && static_cast<double>(ejected) <= limit;
 }
 
 void OutlierDetector::eject(Entry &entry, TimePoint now)
 {
     const Duration length =
-            m_settings.m_firstEjection * (1U << std::min(entry.m_ejections, mostDoublings));
+            m_settings.m_firstEjection * (1U << std::min(entry.m_ejections, maxDoublings));
     entry.m_ejectedUntil = now + std::min(length, m_settings.m_maxEjection);
     ++entry.m_ejections;
     entry.m_isEjected = true;
--- a/src/policy/peer_slots.cpp
+++ b/src/policy/peer_slots.cpp
@@ -52,7 +52,7 @@
 {
     bool hasChanged = false;
     for (auto &[id, peer] : m_peers) {
-        if (peer.m_isStale || now - peer.m_heardAt <= m_maxAge)
+        if (peer.m_isStale || now - peer.m_receivedAt <= m_maxAge)
             continue;
         peer.m_isStale = true;
         hasChanged = true;
@@ -63,20 +63,20 @@
 std::uint32_t PeerSlots::rankOf(std::size_t node, const UpstreamId &upstream) const
 {
     const std::string &name = upstream.text();
-    const std::size_t turn = XXH3_64bits(name.data(), name.size()) % m_nodes.size();
-    return static_cast<std::uint32_t>((node + turn) % m_nodes.size());
+    const std::size_t offset = XXH3_64bits(name.data(), name.size()) % m_nodes.size();
+    return static_cast<std::uint32_t>((node + offset) % m_nodes.size());
 }
 
 std::uint32_t PeerSlots::chargeOf(std::size_t node, const UpstreamId &upstream,
                                   std::uint32_t slots) const
 {
-    const std::uint32_t lent = evenSlotShare(slots, nodeCount(), rankOf(node, upstream));
+    const std::uint32_t evenShare = evenSlotShare(slots, nodeCount(), rankOf(node, upstream));
     const auto peer = m_peers.find(m_nodes[node]);
     if (peer == m_peers.end() || peer->second.m_isStale)
-        return lent;
+        return evenShare;
     const auto reported = peer->second.m_inFlight.find(upstream);
     const std::uint32_t inFlight = reported == peer->second.m_inFlight.end() ? 0 : reported->second;
-    return peerCharge(m_settings, inFlight, lent);
+    return peerCharge(m_settings, inFlight, evenShare);
 }
 
 std::uint32_t PeerSlots::chargeOf(const NodeId &peer, const UpstreamId &upstream,
--- a/src/policy/prefix_cache_index.cpp
+++ b/src/policy/prefix_cache_index.cpp
@@ -10,19 +10,19 @@
 void PrefixCacheIndex::recordBlocks(const UpstreamId &upstream,
                                     std::span<const std::uint64_t> blocks, TimePoint now)
 {
-    Memory &memory = m_upstreams[upstream];
-    // From the last block on, so that the leading ones, which others share, are forgotten last.
+    BlockList &list = m_upstreams[upstream];
+    // Backwards, so that the leading blocks, which other prompts share, are evicted last.
     for (std::size_t left = blocks.size(); left > 0; --left) {
         const std::uint64_t hash = blocks[left - 1];
-        const auto known = memory.m_index.find(hash);
-        if (known != memory.m_index.end())
-            memory.m_blocks.erase(known->second);
-        memory.m_blocks.push_front(Block{hash, now});
-        memory.m_index[hash] = memory.m_blocks.begin();
+        const auto known = list.m_index.find(hash);
+        if (known != list.m_index.end())
+            list.m_blocks.erase(known->second);
+        list.m_blocks.push_front(Block{hash, now});
+        list.m_index[hash] = list.m_blocks.begin();
     }
-    while (memory.m_blocks.size() > m_blocksPerUpstream) {
-        memory.m_index.erase(memory.m_blocks.back().m_hash);
-        memory.m_blocks.pop_back();
+    while (list.m_blocks.size() > m_blocksPerUpstream) {
+        list.m_index.erase(list.m_blocks.back().m_hash);
+        list.m_blocks.pop_back();
     }
 }
 
@@ -31,13 +31,13 @@
     const auto found = m_upstreams.find(upstream);
     if (found == m_upstreams.end())
         return;
-    Memory &memory = found->second;
+    BlockList &list = found->second;
     for (const std::uint64_t hash : blocks) {
-        const auto known = memory.m_index.find(hash);
-        if (known == memory.m_index.end())
+        const auto known = list.m_index.find(hash);
+        if (known == list.m_index.end())
             continue;
-        memory.m_blocks.erase(known->second);
-        memory.m_index.erase(known);
+        list.m_blocks.erase(known->second);
+        list.m_index.erase(known);
     }
 }
 
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::uint32_t mostDoublings = 20;
-constexpr double leastJitter = 0.5;
-/// A time left beyond this is written as none.
-constexpr std::int64_t longestMillis = 7LL * 24 * 3600 * 1000;
+constexpr std::uint32_t maxDoublings = 20;
+constexpr double minJitter = 0.5;
+/// A longer time left is omitted from the header.
+constexpr std::int64_t maxMillis = 7LL * 24 * 3600 * 1000;
 
 std::optional<NoRetryReason> reasonFromOutcome(AttemptOutcome outcome, const RetryProfile &profile)
 {
@@ -30,10 +30,10 @@
 
 Duration backoffBefore(std::uint32_t attempt, const RetryProfile &profile, pcg32 &random)
 {
-    const std::uint32_t doublings = std::min(attempt - std::min(attempt, 1U), mostDoublings);
+    const std::uint32_t doublings = std::min(attempt - std::min(attempt, 1U), maxDoublings);
     const Duration full = std::min(profile.m_baseBackoff * (1U << doublings), profile.m_maxBackoff);
     const double fraction = random() / static_cast<double>(pcg32::max());
-    const double jitter = leastJitter + (1.0 - leastJitter) * fraction;
+    const double jitter = minJitter + (1.0 - minJitter) * fraction;
     return Duration(static_cast<Duration::rep>(static_cast<double>(full.count()) * jitter));
 }
 
@@ -52,9 +52,9 @@
         return std::nullopt;
     const std::string_view rest = text.substr(at + key.size());
     Number value = 0;
-    const auto [end, problem] = std::from_chars(rest.data(), rest.data() + rest.size(), value);
-    const bool isWhole = end == rest.data() + rest.size() || *end == ';';
-    if (problem != std::errc() || !isWhole)
+    const auto [end, error] = std::from_chars(rest.data(), rest.data() + rest.size(), value);
+    const bool isComplete = end == rest.data() + rest.size() || *end == ';';
+    if (error != std::errc() || !isComplete)
         return std::nullopt;
     return value;
 }
@@ -82,7 +82,7 @@
 std::string toHeader(const AttemptInfo &info)
 {
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(info.m_timeLeft);
-    if (millis.count() > longestMillis)
+    if (millis.count() > maxMillis)
         return fmt::format("attempt={};left={}", info.m_attempt, info.m_attemptsLeft);
     return fmt::format("attempt={};left={};ms={}", info.m_attempt, info.m_attemptsLeft,
                        std::max<std::int64_t>(millis.count(), 0));
@@ -98,7 +98,7 @@
     if (text.find("ms=") == std::string_view::npos)
         return info;
     const auto millis = numberAfter<std::int64_t>(text, "ms=");
-    if (!millis || *millis < 0 || *millis > longestMillis)
+    if (!millis || *millis < 0 || *millis > maxMillis)
         return std::nullopt;
     info.m_timeLeft = std::chrono::milliseconds(*millis);
     return info;
--- a/src/policy/routing.cpp
+++ b/src/policy/routing.cpp
@@ -21,24 +21,25 @@
                                  std::span<const Candidate> candidates, TimePoint now,
                                  pcg32 &random)
 {
-    return std::visit([&](auto &way) { return way.choose(request, candidates, now, random); },
-                      policy);
+    return std::visit(
+            [&](auto &alternative) { return alternative.choose(request, candidates, now, random); },
+            policy);
 }
 
 void recordDispatch(RoutingPolicy &policy, const UpstreamId &upstream,
                     const RoutingRequest &request, TimePoint now)
 {
-    std::visit([&](auto &way) { way.dispatched(upstream, request, now); }, policy);
+    std::visit([&](auto &alternative) { alternative.dispatched(upstream, request, now); }, policy);
 }
 
 void applyCacheEvent(RoutingPolicy &policy, const CacheEvent &event, TimePoint now)
 {
-    std::visit([&](auto &way) { way.cacheEvent(event, now); }, policy);
+    std::visit([&](auto &alternative) { alternative.cacheEvent(event, now); }, policy);
 }
 
 void dropUpstreamState(RoutingPolicy &policy, const UpstreamId &upstream)
 {
-    std::visit([&](auto &way) { way.forget(upstream); }, policy);
+    std::visit([&](auto &alternative) { alternative.forget(upstream); }, policy);
 }
 
 std::vector<std::uint64_t> prefixBlocks(std::string_view prompt, std::size_t blockBytes)
--- a/src/policy/routing_prefix_affinity.cpp
+++ b/src/policy/routing_prefix_affinity.cpp
@@ -16,7 +16,7 @@
 
 PrefixAffinity::PrefixAffinity(RoutingSettings settings)
     : m_settings(settings)
-    , m_memory(settings.m_blocksPerUpstream, settings.m_prefixMaxAge)
+    , m_cacheIndex(settings.m_blocksPerUpstream, settings.m_prefixMaxAge)
 {}
 
 std::optional<UpstreamId> PrefixAffinity::choose(const RoutingRequest &request,
@@ -40,7 +40,7 @@
          ++draw)
         consider(left[random(count)]);
     for (const Candidate *one : left) {
-        if (m_memory.match(one->m_upstream, request.m_prefixBlocks, now) > 0)
+        if (m_cacheIndex.match(one->m_upstream, request.m_prefixBlocks, now) > 0)
             consider(one);
     }
     return best->m_upstream;
@@ -49,26 +49,27 @@
 void PrefixAffinity::dispatched(const UpstreamId &upstream, const RoutingRequest &request,
                                 TimePoint now)
 {
-    m_memory.recordBlocks(upstream, request.m_prefixBlocks, now);
+    m_cacheIndex.recordBlocks(upstream, request.m_prefixBlocks, now);
 }
 
 void PrefixAffinity::cacheEvent(const CacheEvent &event, TimePoint now)
 {
     if (event.m_isAfterGap)
-        m_memory.halveLifetimes(event.m_upstream, now);
-    m_memory.evict(event.m_upstream, event.m_evicted);
-    m_memory.recordBlocks(event.m_upstream, event.m_added, now);
+        m_cacheIndex.halveLifetimes(event.m_upstream, now);
+    m_cacheIndex.evict(event.m_upstream, event.m_evicted);
+    m_cacheIndex.recordBlocks(event.m_upstream, event.m_added, now);
 }
 
 void PrefixAffinity::forget(const UpstreamId &upstream)
 {
-    m_memory.forget(upstream);
+    m_cacheIndex.forget(upstream);
 }
 
 double PrefixAffinity::score(const RoutingRequest &request, const Candidate &candidate,
                              TimePoint now) const
 {
-    const std::size_t blocks = m_memory.match(candidate.m_upstream, request.m_prefixBlocks, now);
+    const std::size_t blocks =
+            m_cacheIndex.match(candidate.m_upstream, request.m_prefixBlocks, now);
     const double cached = std::min(static_cast<double>(blocks * m_settings.m_blockTokens),
                                    static_cast<double>(request.m_promptTokens));
     const double prefill = (request.m_promptTokens - cached) / m_settings.m_prefillTokensPerSecond;
--- a/src/policy/service_rate.cpp
+++ b/src/policy/service_rate.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Below this much observed time a rate is noise.
-constexpr double leastSeconds = 0.25;
+/// With less measured time than this, the rate is too noisy.
+constexpr double minSeconds = 0.25;
 
 } // namespace
 
@@ -29,7 +29,7 @@
 
 double ServiceRate::tokensPerSecond() const
 {
-    return m_seconds < leastSeconds ? 0.0 : m_tokens / m_seconds;
+    return m_seconds < minSeconds ? 0.0 : m_tokens / m_seconds;
 }
 
 } // namespace gypsumdale
--- a/src/policy/token_counters.cpp
+++ b/src/policy/token_counters.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr double smallestWeight = 0.001;
+constexpr double minWeight = 0.001;
 
 } // namespace
 
 void TokenCounters::setWeight(const MemberId &member, double weight)
 {
-    m_members[member].m_weight = std::max(weight, smallestWeight);
+    m_members[member].m_weight = std::max(weight, minWeight);
 }
 
 double TokenCounters::weight(const MemberId &member) const
@@ -24,10 +24,10 @@
 void TokenCounters::charge(const MemberId &member, std::uint64_t tokens)
 {
     Member &entry = m_members[member];
-    const std::uint64_t setOff = std::min(tokens, entry.m_overcharged);
-    entry.m_overcharged -= setOff;
-    m_own[member] += tokens - setOff;
-    add(member, tokens - setOff);
+    const std::uint64_t deducted = std::min(tokens, entry.m_overcharged);
+    entry.m_overcharged -= deducted;
+    m_own[member] += tokens - deducted;
+    add(member, tokens - deducted);
 }
 
 void TokenCounters::correctCharge(const MemberId &member, std::uint64_t charged,
--- a/src/policy/upstream_measurements.cpp
+++ b/src/policy/upstream_measurements.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/// The weight of the newest measurement in a smoothed time.
-constexpr double gain = 0.2;
+/// Weight of the newest measurement in a smoothed time.
+constexpr double smoothingFactor = 0.2;
 constexpr double firstTokenHalfLifeSeconds = 2.0;
 constexpr double failureHalfLifeSeconds = 10.0;
 
-double smoothed(double known, double measured)
+double smoothed(double previous, double measured)
 {
-    return known == 0.0 ? measured : known + gain * (measured - known);
+    return previous == 0.0 ? measured : previous + smoothingFactor * (measured - previous);
 }
 
-/// What is left of 1 after this time.
-double faded(Duration age, double halfLifeSeconds)
+/// Returns the exponential decay of 1 after this time.
+double decayFactor(Duration age, double halfLifeSeconds)
 {
     return std::exp2(-toSeconds(age) / halfLifeSeconds);
 }
@@ -43,7 +43,7 @@
 
 Duration UpstreamMeasurements::firstToken(TimePoint now) const
 {
-    const double left = faded(now - m_firstTokenAt, firstTokenHalfLifeSeconds);
+    const double left = decayFactor(now - m_firstTokenAt, firstTokenHalfLifeSeconds);
     return fromSeconds(m_firstTokenSeconds * left);
 }
 
@@ -54,7 +54,7 @@
 
 double UpstreamMeasurements::failures(TimePoint now) const
 {
-    return m_failures * faded(now - m_failuresAt, failureHalfLifeSeconds);
+    return m_failures * decayFactor(now - m_failuresAt, failureHalfLifeSeconds);
 }
 
 } // namespace gypsumdale
