--- a/include/gypsumdale/kernel/admin_api.hpp
+++ b/include/gypsumdale/kernel/admin_api.hpp
@@ -9,13 +9,13 @@
 
 namespace gypsumdale {
 
-/// The operators' interface of docs/ADMIN-API.md. Runs in the fibers of the traffic loops.
+/// HTTP interface for operators, see docs/ADMIN-API.md. Runs in the fibers of the traffic loops.
 class AdminApi
 {
 public:
     AdminApi(Traffic &traffic, OperatorTable operators);
 
-    /// Answers one request.
+    /// Handles a request.
     void handle(const HttpRequest &request, HttpResponder &responder);
 
 private:
--- a/include/gypsumdale/kernel/admission_driver.hpp
+++ b/include/gypsumdale/kernel/admission_driver.hpp
@@ -15,14 +15,14 @@
 
 namespace gypsumdale {
 
-/// A request may be sent to this upstream now.
+/// The request may be sent to this upstream now.
 struct Placed
 {
     UpstreamId m_upstream;
     Endpoint m_endpoint;
 };
 
-/// The request is answered with this error now.
+/// The request must be answered with this error now.
 struct NotPlaced
 {
     Error m_error;
@@ -31,20 +31,21 @@
 
 using Placement = std::variant<Placed, NotPlaced>;
 
-/// Drives one AdmissionController for each service: requests wait here, suspended, until they are
-/// dispatched or refused. Lives on the control loop.
+/// Drives one AdmissionController per service. Fibers of queued requests are suspended here until
+/// the request is dispatched or refused. Used on the control loop only.
 class AdmissionDriver
 {
 public:
     AdmissionDriver(ControlContext &context, FleetDriver &fleet, const SettingsView &view);
 
-    /// Begins to poll; to be called in a fiber of the control loop.
+    /// Starts polling. Must be called in a fiber of the control loop.
     void start();
 
-    /// Waits until the request is placed or given up. Suspends the calling fiber of the loop.
+    /// Waits until the request is dispatched or refused. Suspends the calling fiber, which must be
+    /// one of the control loop.
     Placement place(const ServiceId &service, WaitingRequest request);
 
-    /// The caller of a waiting request has gone.
+    /// Cancels a queued request whose caller disconnected.
     void cancel(const ServiceId &service, const RequestId &request);
 
     void firstToken(const ServiceId &service, const RequestId &request);
@@ -53,7 +54,7 @@
                std::uint32_t generated);
     void finishAttempt(const ServiceId &service, const RequestId &request, AttemptEnd end);
 
-    /// Decides about another attempt out of the service's budget.
+    /// Decides whether a failed attempt is retried, based on the service's retry budget.
     RetryDecision decideRetry(const ServiceId &service, const AttemptState &attempt,
                               const RetryProfile &profile);
     void onFirstAttempt(const ServiceId &service);
@@ -62,7 +63,7 @@
     void onSettingsChanged();
     void onNodesChanged();
     void onUpstreamChanged(const UpstreamStateChanged &change);
-    /// Refuses all that waits and all that comes.
+    /// Refuses all queued and all later requests.
     void drain();
 
     std::size_t waiting() const;
--- a/include/gypsumdale/kernel/caller_api.hpp
+++ b/include/gypsumdale/kernel/caller_api.hpp
@@ -7,14 +7,14 @@
 
 namespace gypsumdale {
 
-/// The interface towards callers: chat completions, plain services, durable jobs, and the checks of
-/// the balancer. Runs in the fibers of the traffic loops.
+/// HTTP interface for callers: chat completions, plain services, durable jobs, and health checks
+/// for the load balancer. Runs in the fibers of the traffic loops.
 class CallerApi
 {
 public:
     explicit CallerApi(Traffic &traffic);
 
-    /// Answers one request.
+    /// Handles a request.
     void handle(const HttpRequest &request, HttpResponder &responder);
 
 private:
@@ -27,7 +27,7 @@
     Traffic &m_traffic;
 };
 
-/// Returns the credential of an `Authorization: Bearer` header, or an empty text.
+/// Returns the credential of an `Authorization: Bearer` header, or an empty string.
 std::string_view bearerCredential(const HttpRequest &request);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/kernel/chat_request.hpp
+++ b/include/gypsumdale/kernel/chat_request.hpp
@@ -12,23 +12,23 @@
 
 namespace gypsumdale {
 
-/// A chat completion as a caller asked for it.
+/// A caller's request for a chat completion.
 class ChatRequest
 {
 public:
-    /// Reads a request's body. Fails with RequestMalformed, saying what is wrong.
+    /// Parses a request's body. Fails with RequestMalformed and a description.
     static Result<ChatRequest> parse(std::string_view body);
 
-    /// The service, by the name that the body calls the model.
+    /// Returns the service, which the body names as the model.
     const ServiceId &service() const { return m_service; }
     bool isStreamed() const { return m_isStreamed; }
-    /// Estimates of the tokens of the prompt and of the answer, corrected by what engines report.
+    /// Estimated tokens of the prompt and of the answer, corrected by the engine's report.
     std::uint32_t promptTokens() const { return m_promptTokens; }
     std::uint32_t expectedTokens() const { return m_expectedTokens; }
     const std::vector<std::uint64_t> &prefixBlocks() const { return m_prefixBlocks; }
 
-    /// Writes the body for an engine: streamed, with the priority, and with the answer so far to go
-    /// on behind. Linear in the body and the answer.
+    /// Returns the body for an engine: streamed, with the priority, and with the answer so far for
+    /// the engine to continue. Complexity: linear in the body and the answer.
     std::string bodyFor(int priority, const AnswerText &soFar) const;
 
 private:
--- a/include/gypsumdale/kernel/chunk_writer.hpp
+++ b/include/gypsumdale/kernel/chunk_writer.hpp
@@ -11,19 +11,19 @@
 
 namespace gypsumdale {
 
-/// Whether a later reader of the same job may be given another answer. A provisional one says so in
-/// its last chunk, or its body: `"provisional":true`.
+/// Whether the answer is final, or a later reader of the same job may receive a different one. A
+/// provisional answer is marked with `"provisional":true` in its last chunk or its body.
 enum class Finality { Final, Provisional };
 
-/// Writes the server-sent events of one answer, in the shape of chat completion chunks.
+/// Writes the server-sent events of an answer as chat completion chunks.
 class ChunkWriter
 {
 public:
-    /// `name` is what the caller knows the answer by: the request's id, or the job's.
+    /// `name` identifies the answer to the caller: the id of the request or the job.
     ChunkWriter(std::string name, const ServiceId &service);
 
-    /// Appends one token's event. With a position the event carries it as its id, which names where
-    /// the caller is once it has this token. Linear in the token.
+    /// Appends the event of one token. If a position is given it becomes the event's id, from which
+    /// the caller can resume after this token. Complexity: linear in the token.
     void appendToken(std::string &buffer, std::int64_t index, std::string_view text,
                      const std::optional<AnswerPosition> &position = std::nullopt) const;
 
@@ -31,18 +31,18 @@
     void appendEnd(std::string &buffer, std::int64_t tokens, std::string_view finishReason,
                    Finality finality = Finality::Final) const;
 
-    /// Returns the whole answer as one chat completion.
+    /// Returns the complete answer as one chat completion.
     std::string whole(const AnswerText &answer, std::string_view finishReason,
                       std::uint32_t promptTokens, Finality finality = Finality::Final) const;
 
 private:
     std::string m_name;
     std::string m_service;
-    /// What every chunk begins with.
+    /// Start of every chunk.
     std::string m_head;
 };
 
-/// Appends a server-sent event of a name of its own, which chat clients pass over.
+/// Appends a server-sent event with a custom name, which chat clients ignore.
 void appendNamedEvent(std::string &buffer, std::string_view event, std::string_view data);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/kernel/claim_driver.hpp
+++ b/include/gypsumdale/kernel/claim_driver.hpp
@@ -12,29 +12,29 @@
 
 namespace gypsumdale {
 
-/// Drives the ClaimLedger against the platform and forwards claims to the node that writes their
-/// shard best. Lives on the control loop.
+/// Drives the ClaimLedger with the platform's answers, and forwards claims to the node that is
+/// preferred for writing their shard. Used on the control loop only.
 class ClaimDriver
 {
 public:
     ClaimDriver(ControlContext &context, FleetDriver &fleet);
 
-    /// Begins to carry out commands; to be called in a fiber of the control loop.
+    /// Starts executing commands. Must be called in a fiber of the control loop.
     void start();
 
-    /// Claims a key and waits for the result. On Granted the attempt named in it may be sent once
-    /// startAttempt() agreed. Suspends the calling fiber.
+    /// Claims a key and waits for the result. After Granted, the attempt named in the result may be
+    /// sent once startAttempt() returned true. Suspends the calling fiber.
     ClaimResult claim(const MemberId &member, const std::string &key, const Digest &bodyDigest,
                       TimePoint deadline);
 
-    /// Tells whether a granted attempt may be sent now; true once at most.
+    /// Returns whether a granted attempt may be sent now; true at most once per attempt.
     bool startAttempt(const AttemptId &attempt);
     void finish(const AttemptId &attempt, Outcome outcome, const StoredAnswer &answer);
 
     wire::ClaimForwarded onForward(const NodeId &sender, const wire::ClaimForward &forward);
     void onRecord(const wire::ClaimRecordForward &record);
 
-    /// Sets how long keys are remembered from now on.
+    /// Sets the retention of keys from now on.
     void setRetention(Duration retention) { m_ledger.setRetention(retention); }
 
     const ClaimLedger &ledger() const { return m_ledger; }
--- a/include/gypsumdale/kernel/config_codec.hpp
+++ b/include/gypsumdale/kernel/config_codec.hpp
@@ -6,7 +6,8 @@
 
 namespace gypsumdale::wire {
 
-/// Between the configuration's messages and their form on the wire. Linear in their objects.
+/// Conversions between the configuration's messages and their wire format. Complexity: linear in
+/// the number of objects.
 ConfigDigest toWire(const gypsumdale::ConfigDigest &digest);
 gypsumdale::ConfigDigest fromWire(const ConfigDigest &digest);
 ConfigDigestFrom toWire(const gypsumdale::ConfigDigestFrom &digest);
@@ -14,7 +15,7 @@
 ConfigAsk toWire(const gypsumdale::ConfigAsk &ask);
 gypsumdale::ConfigAsk fromWire(const ConfigAsk &ask);
 ConfigUpdate toWire(const gypsumdale::ConfigUpdate &update);
-/// Objects of a kind that this version of the program does not know are left out.
+/// Omits objects of a kind that this version of the program doesn't know.
 gypsumdale::ConfigUpdate fromWire(const ConfigUpdate &update);
 
 } // namespace gypsumdale::wire
--- a/include/gypsumdale/kernel/config_driver.hpp
+++ b/include/gypsumdale/kernel/config_driver.hpp
@@ -11,32 +11,33 @@
 
 namespace gypsumdale {
 
-/// Carries out the commands of the ConfigStore against the platform and the peers, and keeps the
-/// SettingsView at what is in force. Lives on the control loop.
+/// Executes the commands of the ConfigStore against the platform and the peers, and keeps the
+/// SettingsView up to date with the versions in force. Used on the control loop only.
 class ConfigDriver
 {
 public:
-    /// Returns where a node listens to its peers, or nothing for a node nobody knows.
+    /// Returns the address at which a node listens to its peers, or nothing for an unknown node.
     using Directory = std::function<std::optional<NodeIdentity>(const NodeId &)>;
     using ChangeListener = std::function<void(const ConfigKey &)>;
 
     ConfigDriver(ControlContext &context, Directory directory);
 
-    /// Begins; to be called in a fiber of the control loop once peers can reach this process.
+    /// Starts. Must be called in a fiber of the control loop once peers can reach this process.
     void start();
 
-    /// Calls the listener after each change that came into force.
+    /// Sets a function that is called after each change that came into force.
     void onChange(ChangeListener listener) { m_listener = std::move(listener); }
 
     void onLiveNodes(const std::vector<NodeId> &nodes);
-    /// A node of the own data centre has been silent for so long that waiting for its word on a new
-    /// version would break the promise to have it in force within seconds.
+    /// Excludes a node of the own data centre that has been silent for so long that waiting for its
+    /// acknowledgement of a new version would break the limit of seconds within which a version
+    /// must be in force.
     void onPeerSilent(const NodeId &peer);
     void onDigest(const ConfigDigestFrom &digest);
     void onAsk(const ConfigAsk &ask);
     void onUpdate(const ConfigUpdate &update);
 
-    /// Carries an operator's edit through to a settled outcome; suspends the calling fiber.
+    /// Executes an operator's edit until its outcome is known. Suspends the calling fiber.
     ConfigWriterStep edit(ConfigEdit edit);
 
     const ConfigStore &store() const { return m_store; }
--- a/include/gypsumdale/kernel/control.hpp
+++ b/include/gypsumdale/kernel/control.hpp
@@ -19,47 +19,51 @@
 
 namespace gypsumdale {
 
-/// All control state of one process, joined: what one driver learns the others are told. Lives on
-/// the control loop; other threads reach it through FiberLoop::call and spawn.
+/// Control state of one process: owns the drivers and passes the events of each to the others. Used
+/// on the control loop only; other threads access it with FiberLoop::call and spawn.
 class Control
 {
 public:
-    /// What the process does at the steps of its shutdown.
+    /// Functions that the shutdown calls.
     struct ShutdownHooks
     {
         std::function<void()> m_stopAccepting;
         std::function<std::size_t()> m_requestsInFlight;
-        /// Whether a caller is connected, or may be yet.
+        /// Returns whether a caller is connected, or may still connect.
         std::function<bool()> m_hasCallers;
         std::function<void(const UnfinishedWork &)> m_exit;
     };
 
     Control(ControlContext context, AttemptCallbacks runAttempt);
 
-    /// Opens the peers' address and begins all duties; to be called in a fiber of the loop.
+    /// Listens on the peer address and starts all drivers. Must be called in a fiber of the control
+    /// loop.
     Result<Done> start();
 
-    /// Finds out who asks and under which promises. Fails with CredentialRefused, ProfileUnknown or
-    /// ServiceUnknown; the texts say nothing of what exists for others.
+    /// Authenticates a caller and resolves its profile and service. Fails with CredentialRefused,
+    /// ProfileUnknown or ServiceUnknown; the texts reveal nothing about what exists for other
+    /// callers.
     Result<RequestContext> resolve(const CallerHeaders &claim, RequestId id);
 
-    /// Tells why requests are not taken now, or nothing.
+    /// Returns the reason why requests are not accepted now, or nothing.
     std::optional<Error> unreadyReason() const;
 
-    /// Begins the graceful shutdown.
+    /// Starts the graceful shutdown.
     void shutDown(DrainCause cause, std::optional<TimePoint> deadline);
     void setShutdownHooks(ShutdownHooks hooks) { m_hooks = std::move(hooks); }
 
-    /// Requests whose answer is not finished, as the callers' server counts them.
+    /// Returns the number of requests whose answer is not finished, as counted by the callers'
+    /// server.
     std::size_t requestsInFlight() const;
-    /// Returns the highest version in force at a peer, as its last digest said; 0 if unheard.
+    /// Returns the highest version in force at a peer according to its last digest; 0 if none was
+    /// received.
     ConfigVersion peerVersion(const NodeId &node) const;
-    /// Asks a peer which version of an object it has in force; nothing if it doesn't answer.
+    /// Asks a peer for its version in force of an object. Returns nothing if it doesn't answer.
     /// Suspends the calling fiber.
     std::optional<ConfigVersion> queryVersion(const NodeIdentity &peer, const ConfigKey &key,
                                               Duration timeout);
-    /// Collects what all live nodes remember of a subject, oldest first. Suspends the calling
-    /// fiber.
+    /// Collects the decisions about a subject that the live nodes have recorded, oldest first.
+    /// Suspends the calling fiber.
     std::vector<DecisionEvent> explain(DecisionSubject subject, const std::string &id,
                                        Duration timeout);
 
--- a/include/gypsumdale/kernel/control_context.hpp
+++ b/include/gypsumdale/kernel/control_context.hpp
@@ -11,7 +11,7 @@
 
 namespace gypsumdale {
 
-/// What every driver of the control thread works with. All of it outlives the drivers.
+/// Objects shared by all drivers of the control thread. All of them outlive the drivers.
 struct ControlContext
 {
     const NodeSettings &m_settings;
@@ -23,7 +23,7 @@
     HttpClient &m_http;
     PlatformClient &m_platform;
     PeerLink &m_peers;
-    /// This life of the process: the time of its start.
+    /// Incarnation of this process: the time of its start.
     Incarnation m_incarnation = 0;
 
     TimePoint now() const { return m_clock.now(); }
--- a/include/gypsumdale/kernel/daemon.hpp
+++ b/include/gypsumdale/kernel/daemon.hpp
@@ -5,9 +5,9 @@
 
 namespace gypsumdale {
 
-/// Runs one process of the system until it was shut down gracefully: by SIGTERM, SIGINT, a reclaim
-/// notice or an operator. Fails at once if an address is taken or a secret can't be read. Returns
-/// the number of requests that had to be cut at the deadline.
+/// Runs the process until a graceful shutdown by SIGTERM, SIGINT, a reclaim notice or an operator
+/// is complete. Fails at once if an address is in use or a secret can't be read. Returns the number
+/// of requests that were cut off at the deadline.
 Result<std::size_t> runDaemon(const NodeSettings &settings);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/kernel/engine_call.hpp
+++ b/include/gypsumdale/kernel/engine_call.hpp
@@ -11,34 +11,34 @@
 
 namespace gypsumdale {
 
-/// One attempt at an engine: what to send and how long to wait.
+/// One attempt at an engine: the request and its timeouts.
 struct EngineAttempt
 {
     Endpoint m_endpoint;
-    /// The attempt's name, which comes back in every event.
+    /// Name of the attempt, which the engine repeats in every event.
     std::string m_name;
     std::string m_body;
     Duration m_headerTimeout = std::chrono::seconds(30);
     Duration m_silenceTimeout = std::chrono::seconds(10);
 };
 
-/// Adds to the metrics how many events of a finished answer were dropped.
+/// Adds the number of events dropped during a finished answer to the metrics.
 void countDroppedEvents(Metrics &metrics, const AnswerAssembler &assembler);
 
-/// How an attempt ended without a whole answer.
+/// Failure of an attempt before its answer was complete.
 struct EngineFailure
 {
     Error m_error;
     SendPhase m_phase = SendPhase::NothingSent;
-    /// The engine said that it did not begin, or that the request itself is at fault.
+    /// The engine reported that it did not start, or that the request itself is invalid.
     bool m_isRefusedBeforeStart = false;
     bool m_isPermanent = false;
 };
 
-/// What one piece of the stream brought.
+/// Result of reading one piece of the stream.
 struct EngineProgress
 {
-    /// The answer's tokens before and after.
+    /// Number of the answer's tokens before and after this piece.
     std::int64_t m_firstNewToken = 0;
     std::int64_t m_tokenCount = 0;
     bool m_isComplete = false;
@@ -47,21 +47,21 @@
 template <typename Value>
 using EngineResult = std::variant<Value, EngineFailure>;
 
-/// Reads one attempt's stream into an assembler. Used by one fiber of a traffic loop; cancel() may
-/// come from another fiber of that loop.
+/// Reads the stream of one attempt into an assembler. Used by one fiber of a traffic loop; cancel()
+/// may be called from another fiber of that loop.
 class EngineCall
 {
 public:
     EngineCall(HttpClient &client, AnswerAssembler &assembler);
 
-    /// Sends the request and waits for the answer's header.
+    /// Sends the request and waits for the header of the answer.
     EngineResult<Done> open(const EngineAttempt &attempt);
 
-    /// Waits for the next piece and takes its events in. Once the progress says whole there is
-    /// nothing more to read.
+    /// Waits for the next piece and processes its events. Must not be called again once the answer
+    /// is complete.
     EngineResult<EngineProgress> read();
 
-    /// Closes the connection, so that the engine stops; a read under way fails with Cancelled.
+    /// Closes the connection, so that the engine stops. A concurrent read fails with Cancelled.
     void cancel();
 
 private:
--- a/include/gypsumdale/kernel/error_reply.hpp
+++ b/include/gypsumdale/kernel/error_reply.hpp
@@ -9,17 +9,17 @@
 
 namespace gypsumdale {
 
-/// Returns the HTTP status that an error is answered with. Constant.
+/// Returns the HTTP status of an error. Complexity: constant.
 int httpStatusOf(ErrorId id);
 
-/// Writes an error as `{"error":{"id":301,"name":"queue-full","message":".."}}`.
+/// Returns an error as JSON: `{"error":{"id":301,"name":"queue-full","message":".."}}`.
 std::string errorBody(const Error &error);
 
-/// Makes the whole answer for an error. A time to come back that is not zero becomes Retry-After,
-/// in whole seconds, rounded up, and `retry_after_ms` in the body.
+/// Returns the complete reply for an error. A non-zero retry-after is sent as Retry-After, in whole
+/// seconds, rounded up, and as `retry_after_ms` in the body.
 HttpReply errorReply(const Error &error, Duration retryAfter = Duration::zero());
 
-/// Adds what is known of whether the request ran: header `X-Outcome` and `outcome` in the body.
+/// Adds whether the request ran, as far as known: header `X-Outcome` and `outcome` in the body.
 HttpReply errorReply(const Error &error, Outcome outcome, Duration retryAfter = Duration::zero());
 
 } // namespace gypsumdale
--- a/include/gypsumdale/kernel/fleet_driver.hpp
+++ b/include/gypsumdale/kernel/fleet_driver.hpp
@@ -11,8 +11,8 @@
 
 namespace gypsumdale {
 
-/// What one peer last said of its own work: tokens served by member and requests in flight by
-/// upstream, both absolute.
+/// Last reported load of a peer: tokens served by member and requests in flight by upstream, both
+/// absolute.
 struct PeerLoad
 {
     Incarnation m_incarnation = 0;
@@ -20,19 +20,19 @@
     std::map<UpstreamId, std::uint32_t> m_inFlight;
 };
 
-/// Who wants to hear of what changes in the fleet. Called on the control loop.
+/// Callbacks for changes in the fleet, called on the control loop.
 struct FleetListeners
 {
     std::function<void(const NodeStateChanged &)> m_nodeChanged;
     std::function<void(const UpstreamStateChanged &)> m_upstreamChanged;
     std::function<void(const ConfigDigestReceived &)> m_configSeen;
     std::function<void(const NodeId &, const PeerLoad &)> m_peerLoad;
-    /// A reclaim notice that concerns this node's own VM or data centre.
+    /// Called for a reclaim notice that concerns this node's VM or data centre.
     std::function<void(const LeavingNotice &)> m_ownNotice;
 };
 
-/// Drives PeerExchange: heartbeats, probes of upstreams, the cloud's list and notices. Lives on the
-/// control loop.
+/// Drives PeerExchange: heartbeats, probes of upstreams, the cloud's VM list and notices. Used on
+/// the control loop only.
 class FleetDriver
 {
 public:
@@ -40,14 +40,16 @@
 
     void listen(FleetListeners listeners) { m_listeners = std::move(listeners); }
 
-    /// Begins to tick, probe and read the cloud; to be called in a fiber of the control loop.
+    /// Starts heartbeats, probes and reading from the cloud. Must be called in a fiber of the
+    /// control loop.
     void start();
 
     wire::Heartbeat onHeartbeat(const NodeId &sender, const wire::Heartbeat &heartbeat);
     void onNotices(const NodeId &sender, const wire::LeavingNotices &notices);
     wire::LeavingNotices notices() const;
 
-    /// Drains an upstream at an operator's word. False if there is none of that name.
+    /// Drains an upstream on an operator's request. Returns false if there is no upstream of that
+    /// name.
     bool drainUpstream(const UpstreamId &upstream);
     void onRequestFailed(const UpstreamId &upstream, const std::string &reason);
     void onRequestSucceeded(const UpstreamId &upstream);
@@ -56,11 +58,10 @@
     const Membership &membership() const { return m_exchange.membership(); }
     const UpstreamTable &upstreams() const { return m_exchange.upstreams(); }
 
-    /// Returns where a node listens to its peers, if it is known.
+    /// Returns the address at which a node listens to its peers, if known.
     std::optional<NodeIdentity> find(const NodeId &node) const;
 
-    /// Returns what settings say of an upstream beyond its place, or null for one that only the
-    /// cloud's list names.
+    /// Returns the upstream's entry in the settings, or null if only the cloud's list names it.
     const StaticUpstream *declared(const UpstreamId &upstream) const;
 
 private:
@@ -77,7 +78,8 @@
     void runTicks();
     void readNotices();
     void readVmList();
-    /// Returns the upstream on a VM: the one that settings put there, or one named after the VM.
+    /// Returns the upstream on a VM: the one that the settings assign to the VM, or one with the
+    /// VM's name.
     UpstreamId upstreamOn(const VmId &vm) const;
     void takeNotice(const LeavingNotice &notice);
 
--- a/include/gypsumdale/kernel/health_reply.hpp
+++ b/include/gypsumdale/kernel/health_reply.hpp
@@ -7,12 +7,13 @@
 
 namespace gypsumdale {
 
-/// Makes a whole answer of plain text.
+/// Returns a complete reply with plain text.
 HttpReply textReply(int status, std::string text);
 
-/// Answers a balancer's or an operator's check: 200 while this process wants requests, 503 with the
-/// reason otherwise. It fails as soon as a shutdown begins, while requests are still taken, so that
-/// the balancer turns away before anybody is refused. Waits for the control thread.
+/// Returns the reply to a readiness check of a load balancer or an operator: 200 while this process
+/// accepts requests, otherwise 503 with the reason. It is 503 as soon as a shutdown starts, while
+/// requests are still accepted, so that the load balancer stops sending before any is refused.
+/// Waits for the control thread.
 HttpReply readyReply(Traffic &traffic);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/kernel/job_call.hpp
+++ b/include/gypsumdale/kernel/job_call.hpp
@@ -12,18 +12,18 @@
 
 namespace gypsumdale {
 
-/// Serves a caller of one durable job: the one who asked for it, or one who comes back for it.
-/// Lives in one fiber of a traffic loop; the job itself does not depend on it.
+/// Serves one caller of a durable job: the one that requested it, or one that reattaches. Used in
+/// one fiber of a traffic loop; the job itself doesn't depend on it.
 class JobCall
 {
 public:
     JobCall(Traffic &traffic, HttpResponder &responder);
 
-    /// Offers a job and, once it is accepted, streams its answer. A job that is not accepted is
-    /// answered with the error, and does not go on.
+    /// Offers a job and streams its answer once the job is accepted. A job that isn't accepted is
+    /// answered with the error and not continued.
     void runNew(const RequestContext &context, const ChatRequest &request, const std::string &body);
 
-    /// Goes on with a job's answer at a position, here or at the node that has the job.
+    /// Continues a job's answer from a position, here or at the node that has the job.
     void runReattached(const MemberId &member, const JobId &job, AnswerPosition position,
                        const HttpRequest &original);
 
@@ -46,7 +46,7 @@
     std::optional<ChunkWriter> m_writer;
     std::string m_buffer;
     AnswerPosition m_position;
-    /// For a caller that wants the answer in one piece.
+    /// Answer so far, for a caller that requested it in one piece.
     std::optional<AnswerText> m_collected;
     std::uint32_t m_promptTokens = 0;
     RequestSeries *m_series = nullptr;
--- a/include/gypsumdale/kernel/job_driver.hpp
+++ b/include/gypsumdale/kernel/job_driver.hpp
@@ -16,40 +16,40 @@
 
 namespace gypsumdale {
 
-/// Runs attempts of jobs on the traffic loops. Both functions return at once.
+/// Functions that run attempts of jobs on the traffic loops. Both return at once.
 struct AttemptCallbacks
 {
     std::function<void(const StartAttempt &)> m_start;
     std::function<void(const CancelAttempt &)> m_cancel;
 };
 
-/// Drives the JobTable: carries out its commands through its logs in the platform (JobLogs), its
-/// messages to peers (JobMessenger), its attempts and the feeds of callers (JobFeeds). Lives on the
-/// control loop.
+/// Drives the JobTable: executes its commands with its logs in the platform (JobLogs), messages to
+/// peers (JobMessenger), attempts, and the callers' feeds (JobFeeds). Used on the control loop
+/// only.
 class JobDriver
 {
 public:
     JobDriver(ControlContext &context, FleetDriver &fleet, AttemptCallbacks runAttempt);
 
-    /// Begins all duties; to be called in a fiber of the control loop.
+    /// Starts all its tasks. Must be called in a fiber of the control loop.
     void start();
 
-    /// Offers a job and subscribes its caller. Fails as JobTable::offer does.
+    /// Offers a job and subscribes its caller. Fails like JobTable::offer.
     Result<std::pair<JobId, std::shared_ptr<JobFeed>>> offer(const JobRequest &request);
 
-    /// A caller comes back at a position. Waits while a log has to be read, for at most a few
-    /// seconds. ServeFrom of a job under way comes with a feed of what follows.
+    /// Reattaches a caller at a position. Waits for at most a few seconds if a log has to be read.
+    /// The answer ServeFrom of an unfinished job comes with a feed of its further events.
     std::pair<ReattachAnswer, std::shared_ptr<JobFeed>>
     reattach(const JobId &job, const MemberId &member, const AnswerPosition &position);
 
-    /// Asks the others who has a job that this node does not know.
+    /// Asks the other nodes which of them has a job that this node doesn't know.
     std::optional<wire::JobLocated> locate(const JobId &job, const std::optional<NodeId> &first)
     {
         return m_messenger.locate(job, first);
     }
     wire::JobLocated onLocate(const wire::JobLocate &ask) const;
 
-    // From the attempts on the traffic loops, through spawn().
+    // Called by the attempts on the traffic loops, through spawn().
     void onTokens(const JobId &job, std::uint64_t attempt, std::int64_t epoch,
                   std::int64_t firstToken, const AnswerText &tokens);
     void onAttemptFinished(const JobId &job, std::uint64_t attempt, std::int64_t wholeTokens,
@@ -68,7 +68,7 @@
     void onHoldAnswer(const NodeId &sender, const wire::JobHoldAnswer &answer);
     void onHandOverAnswer(const NodeId &sender, const wire::JobHandOverAnswer &answer);
 
-    /// Sets how long finished answers are kept.
+    /// Sets the retention of finished answers.
     void setRetention(Duration retention)
     {
         m_retention = retention;
@@ -76,7 +76,7 @@
     }
 
     const JobTable &table() const { return m_table; }
-    /// Jobs that this node owns and that are not over.
+    /// Returns the number of unfinished jobs that this node owns.
     std::size_t unfinishedJobs() const;
 
 private:
@@ -102,7 +102,7 @@
     void execute(const RequestReattach &command);
     void execute(const ReportEnded &command);
     void execute(const ReportOverruled &command);
-    /// Sends a message that wants an answer; a peer that gives none counts as failed.
+    /// Sends a message that requires an answer. A peer that doesn't answer counts as failed.
     void askPeer(const NodeId &peer, const wire::PeerRequestBody &body,
                  JobMessenger::ReplyHandler take);
     void countRecomputed(const JobId &job, const MemberId &member, std::int64_t tokens);
--- a/include/gypsumdale/kernel/job_feed.hpp
+++ b/include/gypsumdale/kernel/job_feed.hpp
@@ -12,7 +12,7 @@
 
 namespace gypsumdale {
 
-/// New tokens of a job's answer, from the offset named.
+/// New tokens of a job's answer, from the given offset.
 struct FeedTokens
 {
     std::int64_t m_epoch = 0;
@@ -20,7 +20,7 @@
     AnswerText m_tokens;
 };
 
-/// The job is held and will finish.
+/// The job is held durably and will finish.
 struct FeedAccepted
 {};
 
@@ -29,7 +29,7 @@
     Error m_error;
 };
 
-/// The next tokens come from another node: reattach at the position reached.
+/// Another node sends the next tokens: reattach there at the current position.
 struct FeedMoved
 {
     NodeId m_node;
@@ -42,12 +42,13 @@
 
 using FeedEvent = std::variant<FeedTokens, FeedAccepted, FeedRefused, FeedMoved, FeedEnded>;
 
-/// What one caller of a job is told, from the control loop to the traffic fiber that writes to it.
-/// Bounded: a caller that reads too slowly loses its feed, not the job, and reattaches.
+/// Channel for one caller of a job, from the control loop to the traffic fiber that writes to the
+/// caller. Its capacity is limited: a caller that reads too slowly loses the feed, but not the job,
+/// and can reattach.
 class JobFeed
 {
 public:
-    /// Adds an event without waiting; closes the feed if it is full. From the control loop.
+    /// Adds an event without waiting; closes the feed if it is full. Called on the control loop.
     void push(FeedEvent event)
     {
         const auto status = m_channel.try_push(std::move(event));
@@ -55,7 +56,8 @@
             m_channel.close();
     }
 
-    /// Waits for the next event; nothing once the feed is closed and empty. From any fiber.
+    /// Waits for the next event. Returns nothing once the feed is closed and empty. May be called
+    /// in any fiber.
     std::optional<FeedEvent> next()
     {
         FeedEvent event;
--- a/include/gypsumdale/kernel/job_feeds.hpp
+++ b/include/gypsumdale/kernel/job_feeds.hpp
@@ -9,14 +9,15 @@
 
 namespace gypsumdale {
 
-/// The callers that follow jobs. A feed that its caller let go, or lost, is forgotten when the job
-/// next has something to tell.
+/// Feeds of the callers that follow jobs. A feed that its caller has released or lost is dropped at
+/// the job's next event.
 class JobFeeds
 {
 public:
     std::shared_ptr<JobFeed> subscribe(const JobId &job);
 
-    /// Tells all who follow the job, and with the last event closes their feeds. Linear in them.
+    /// Sends an event to all callers that follow the job; closes their feeds after the last event.
+    /// Complexity: linear in the number of feeds.
     void tell(const JobId &job, const FeedEvent &event, bool isLast);
 
 private:
--- a/include/gypsumdale/kernel/job_logs.hpp
+++ b/include/gypsumdale/kernel/job_logs.hpp
@@ -11,24 +11,25 @@
 
 namespace gypsumdale {
 
-/// The logs of jobs in the platform that this node writes or follows. What they say goes to the
-/// table; the driver is told when it has commands to carry out. Lives on the control loop.
+/// Logs of jobs in the platform that this node writes or follows. Passes their records to the job
+/// table, and notifies the driver that the table may have commands to execute. Used on the control
+/// loop only.
 class JobLogs
 {
 public:
-    /// `onNews` is called after the table was told something.
+    /// `onNews` is called after each update of the table.
     JobLogs(ControlContext &context, JobTable &table, std::function<void()> onNews);
 
     void append(const JobLogId &id, const wire::JobRecord &record);
-    /// Reads the log to its end, and keeps it.
+    /// Reads the log to its end and keeps it open.
     void follow(const JobLogId &id);
-    /// The log is dropped once nothing of it is under way.
+    /// Drops the log once no command of it is pending.
     void leave(const JobLogId &id);
 
-    /// What only time tells: old segments go, and waiting commands are sent. Linear.
+    /// Trims old segments and sends delayed commands. Must be called regularly. Complexity: linear.
     void tick(Duration retention);
 
-    /// Lists the logs that the platform has, and tells the table. Suspends the calling fiber.
+    /// Lists the logs in the platform and passes the list to the table. Suspends the calling fiber.
     void list();
 
 private:
@@ -41,7 +42,7 @@
     struct Log
     {
         std::unique_ptr<PlatformLog> m_log;
-        /// Segments applied and not trimmed, oldest first.
+        /// Applied segments that are not trimmed yet, oldest first.
         std::deque<Segment> m_segments;
         bool m_isLeft = false;
     };
--- a/include/gypsumdale/kernel/job_messenger.hpp
+++ b/include/gypsumdale/kernel/job_messenger.hpp
@@ -8,23 +8,23 @@
 
 namespace gypsumdale {
 
-/// Sends what jobs want of other nodes, each message in a fiber of its own. Lives on the control
-/// loop.
+/// Sends the messages of jobs to other nodes, each in its own fiber. Used on the control loop only.
 class JobMessenger
 {
 public:
-    /// Whether a reply was the answer that the message wants; takes it in if so.
+    /// Processes a reply; returns whether it was the answer that the message requires.
     using ReplyHandler = std::function<bool(const wire::PeerReplyBody &)>;
 
     JobMessenger(ControlContext &context, FleetDriver &fleet);
 
-    /// Sends a message that wants an answer; `onEnd` tells whether there was one.
+    /// Sends a message that requires an answer; `onEnd` receives whether there was one.
     void ask(const NodeId &peer, const wire::PeerRequestBody &body, ReplyHandler take,
              std::function<void(bool)> onEnd);
-    /// Sends a message whose answer says nothing.
+    /// Sends a message whose answer has no content.
     void tell(const NodeId &peer, const wire::PeerRequestBody &body);
 
-    /// Asks all live nodes, `first` before the others, who owns a job. Suspends the calling fiber.
+    /// Asks all live nodes, `first` before the others, which of them owns a job. Suspends the
+    /// calling fiber.
     std::optional<wire::JobLocated> locate(const JobId &job, const std::optional<NodeId> &first);
 
 private:
--- a/include/gypsumdale/kernel/job_runner.hpp
+++ b/include/gypsumdale/kernel/job_runner.hpp
@@ -12,7 +12,7 @@
 namespace gypsumdale {
 
 /// Runs the attempts of durable jobs on the traffic threads. start() and cancel() are called on the
-/// control loop, which also keeps the list of what runs.
+/// control loop, which also owns the list of running attempts.
 class JobRunner
 {
 public:
--- a/include/gypsumdale/kernel/log_io.hpp
+++ b/include/gypsumdale/kernel/log_io.hpp
@@ -8,8 +8,8 @@
 
 namespace gypsumdale {
 
-/// Carries out one command of a log whose objects are KIND/LOG/NUMBER in the platform, and says how
-/// the platform answered. Suspends the calling fiber of the control loop.
+/// Executes one command of a log whose objects are KIND/LOG/NUMBER in the platform, and returns the
+/// platform's answer. Suspends the calling fiber of the control loop.
 LogAnswer performLogCommand(PlatformClient &platform, std::string_view kind, std::string_view log,
                             const LogCommand &command);
 
--- a/include/gypsumdale/kernel/model_call.hpp
+++ b/include/gypsumdale/kernel/model_call.hpp
@@ -12,22 +12,22 @@
 
 namespace gypsumdale {
 
-/// Returns what a profile says about trying a model's request again.
+/// Returns a profile's retry rules for model requests.
 RetryProfile retryProfileOf(const Profile &profile, bool canResume);
 
-/// Returns what the queue and the routing need to know of a chat request.
+/// Returns the properties of a chat request that the queue and the routing use.
 WaitingRequest waitingRequestOf(const RequestContext &context, const ChatRequest &request);
 
-/// Serves one model request that is not a durable job, from placement to the last byte, with
-/// retries that go on behind what the caller has. Lives in one fiber of a traffic loop.
+/// Serves one model request that is not a durable job, from its placement to the last byte. Retries
+/// continue the answer after what the caller has received. Used in one fiber of a traffic loop.
 class ModelCall
 {
 public:
     ModelCall(Traffic &traffic, RequestContext context, ChatRequest request,
               HttpResponder &responder);
 
-    /// Answers the request. Whatever happens, the caller gets a whole answer, an error, or a stream
-    /// that is visibly cut.
+    /// Answers the request. In every case the caller receives a complete answer, an error, or a
+    /// stream that is visibly truncated.
     void run();
 
 private:
@@ -46,10 +46,11 @@
     void reportProgress(bool isFinal);
     void finish();
     void refuse(const Error &error, Duration retryAfter);
-    /// Reports a whole answer. Nothing is asked, so the caller's last bytes don't wait for it; what
-    /// the caller sends next is decided after it, as the control loop keeps the order.
+    /// Reports a complete answer. Returns without waiting, so that the caller's last bytes aren't
+    /// delayed; the control loop keeps the order, so the caller's next request is decided after the
+    /// report.
     void reportCompleted();
-    /// Reports a broken attempt and asks whether there will be another.
+    /// Reports a failed attempt and returns whether there is another one.
     RetryDecision settle(const Ended &ended);
     void onCallerGone();
 
--- a/include/gypsumdale/kernel/peer_link.hpp
+++ b/include/gypsumdale/kernel/peer_link.hpp
@@ -16,33 +16,33 @@
 
 namespace gypsumdale {
 
-/// Answers the body of one request of a peer whose credential was proved.
+/// Returns the reply to a request of a peer that proved its credential.
 using PeerHandler =
         std::function<wire::PeerReplyBody(const NodeId &sender, const wire::PeerRequest &request)>;
 
-/// The frames between this process and the others: requests go out with a proof of the peers'
-/// credential, and only those that prove it are answered. Used from fibers of the control loop.
+/// Frames between this process and its peers. Requests carry a proof of the peers' credential;
+/// requests without a valid proof are not answered. Used in fibers of the control loop.
 class PeerLink
 {
 public:
     PeerLink(FiberLoop &loop, const Clock &clock, NodeId self, std::string credential);
 
-    /// Begins to answer peers. Fails with AddressInUse.
+    /// Starts answering peers. Fails with AddressInUse.
     Result<Done> listen(const Endpoint &endpoint, PeerHandler handler);
 
-    /// Sends a request and returns its answer. A refusal comes back as PeerRefused.
+    /// Sends a request and returns its reply. Fails with PeerRefused if the peer refuses it.
     Result<wire::PeerReply> ask(const NodeIdentity &peer, const wire::PeerRequestBody &body,
                                 Duration timeout);
 
     void setIncarnation(Incarnation incarnation) { m_incarnation = incarnation; }
 
-    /// Counts all frames since the start, in both directions.
+    /// Returns the count of all frames since the start, in both directions.
     FrameTraffic traffic() const;
 
-    /// Counts the requests that proved no credential or were no message.
+    /// Returns the number of requests that had no valid proof or were no valid message.
     std::uint64_t refusedFrames() const { return m_refusedFrames; }
 
-    /// Returns the size of the last heartbeat sent or answered, as encoded.
+    /// Returns the encoded size of the last heartbeat that was sent or answered.
     std::size_t lastHeartbeatBytes() const { return m_lastFrameBytes; }
 
 private:
--- a/include/gypsumdale/kernel/plain_call.hpp
+++ b/include/gypsumdale/kernel/plain_call.hpp
@@ -11,15 +11,15 @@
 
 namespace gypsumdale {
 
-/// Serves one request to a plain service: at most once where the profile says so, with a claim in
-/// the platform where the caller gave an idempotency key. Lives in one fiber of a traffic loop.
+/// Serves one request to a plain service: at most once if the profile requires it, with a claim in
+/// the platform if the caller sent an idempotency key. Used in one fiber of a traffic loop.
 class PlainCall
 {
 public:
     PlainCall(Traffic &traffic, RequestContext context, const HttpRequest &request,
               std::string target, HttpResponder &responder);
 
-    /// Answers the request. The answer's X-Outcome says whether it ran.
+    /// Answers the request. The header X-Outcome of the answer says whether the request ran.
     void run();
 
 private:
@@ -36,10 +36,10 @@
     Ended attempt(const Placed &placed);
     Ended endedBy(const HttpReply &reply) const;
     bool isCrossed(const HttpReply &reply) const;
-    /// Reports an answer. Nothing is asked, so the caller does not wait for it; what the caller
-    /// sends next is decided after it, as the control loop keeps the order.
+    /// Reports an answer. Returns without waiting, so that the caller isn't delayed; the control
+    /// loop keeps the order, so the caller's next request is decided after the report.
     void reportAnswered();
-    /// Reports an attempt without an answer and asks whether there will be another.
+    /// Reports an attempt without an answer and returns whether there is another one.
     RetryDecision settle(const Ended &ended);
     void conclude(const std::optional<AttemptId> &claimed, const Ended &ended, Duration retryAfter);
     void answer(const HttpReply &reply, Outcome outcome);
--- a/include/gypsumdale/kernel/platform_client.hpp
+++ b/include/gypsumdale/kernel/platform_client.hpp
@@ -11,10 +11,10 @@
 
 namespace gypsumdale {
 
-/// A version of the platform's store.
+/// Version number in the platform's store.
 using ObjectVersion = std::uint64_t;
 
-/// One object as a read, a list or a watch shows it.
+/// An object as returned by a read, a list or a watch.
 struct PlatformObject
 {
     std::string m_name;
@@ -23,23 +23,23 @@
     bool m_deleted = false;
 };
 
-/// Objects, and the version of the store up to which they tell everything.
+/// Objects, and the version of the store up to which they are complete.
 struct PlatformObjects
 {
     ObjectVersion m_version = 0;
     std::vector<PlatformObject> m_objects;
 };
 
-/// How a call to the platform failed, by what the caller may conclude from it.
+/// Kinds of failed platform calls, by what is known about their effect.
 enum class PlatformFailureKind {
-    /// It certainly had no effect: nothing was sent, or the rate was spent.
+    /// The call had no effect: nothing was sent, or the rate limit was reached.
     NoEffect,
-    /// It may have taken effect, or may yet.
+    /// The call may have taken effect, or still may.
     AnswerLost,
-    /// The condition on the version did not hold; nothing changed.
+    /// The version condition was not met; nothing changed.
     Conflict,
     NotFound,
-    /// The watch began too far back.
+    /// The watch started at a version that is no longer available.
     TooOld,
 };
 
@@ -47,50 +47,51 @@
 {
     PlatformFailureKind m_failureKind = PlatformFailureKind::AnswerLost;
     Error m_error;
-    /// The time to come back that the platform named, or zero.
+    /// Retry-after given by the platform, or zero.
     Duration m_retryAfter{};
 };
 
 template <typename Value>
 using PlatformResult = std::variant<Value, PlatformFailure>;
 
-/// Counts the calls, for the platform's rates.
+/// Numbers of calls, for the platform's rate limits.
 struct PlatformCalls
 {
     std::uint64_t m_reads = 0;
     std::uint64_t m_writes = 0;
     std::uint64_t m_watches = 0;
     std::uint64_t m_failures = 0;
-    /// Calls refused since an object had another version, and since the rate was spent.
+    /// Calls refused because the object had another version, and because the rate limit was
+    /// reached.
     std::uint64_t m_conflicts = 0;
     std::uint64_t m_limited = 0;
 };
 
-/// Calls the platform's object API (docs/PLATFORM.md) from fibers of the control loop.
+/// Client of the platform's object API (docs/PLATFORM.md), used in fibers of the control loop.
 class PlatformClient
 {
 public:
     PlatformClient(HttpClient &client, Endpoint endpoint, Duration timeout);
 
     PlatformResult<PlatformObject> read(std::string_view kind, std::string_view name);
-    /// Lists names and versions, with bodies if asked.
+    /// Lists names and versions, on request with bodies.
     PlatformResult<PlatformObjects> list(std::string_view kind, std::string_view prefix,
                                          bool withBodies);
-    /// Creates an object if there is none of that name.
+    /// Creates an object unless one of that name exists.
     PlatformResult<ObjectVersion> create(std::string_view kind, std::string_view name,
                                          std::string body);
-    /// Replaces an object that is still at the version.
+    /// Replaces an object if it still has the version.
     PlatformResult<ObjectVersion> update(std::string_view kind, std::string_view name,
                                          ObjectVersion version, std::string body);
-    /// Deletes an object, if a version is given only at that version.
+    /// Deletes an object; if a version is given, only at that version.
     PlatformResult<Done> remove(std::string_view kind, std::string_view name,
                                 std::optional<ObjectVersion> version);
-    /// Waits for changes after a version, at most for the time given.
+    /// Waits for changes after a version, for at most the given time.
     PlatformResult<PlatformObjects> watch(std::string_view kind, ObjectVersion after,
                                           Duration patience);
 
     const PlatformCalls &calls() const { return m_calls; }
-    /// Tells whether the last call that ended was answered at all.
+    /// Returns whether the last completed call was answered.
     bool isReachable() const { return m_isUp; }
 
 private:
--- a/include/gypsumdale/kernel/request_context.hpp
+++ b/include/gypsumdale/kernel/request_context.hpp
@@ -11,8 +11,8 @@
 
 namespace gypsumdale {
 
-/// Who asks for what under which promises: resolved once when a request arrives. The settings are
-/// those in force at that moment.
+/// Caller, profile and service of a request, resolved once at its arrival from the settings in
+/// force at that time.
 struct RequestContext
 {
     RequestId m_id;
@@ -25,7 +25,7 @@
     RequestSeries *m_series = nullptr;
 };
 
-/// What a caller says of itself, in headers.
+/// Credential, profile and service that a caller states in its headers.
 struct CallerHeaders
 {
     std::string m_credential;
--- a/include/gypsumdale/kernel/traffic.hpp
+++ b/include/gypsumdale/kernel/traffic.hpp
@@ -11,7 +11,7 @@
 
 namespace gypsumdale {
 
-/// One thread that moves bytes, with its own connections to upstreams.
+/// A thread that transfers requests and answers, with its own connections to upstreams.
 struct TrafficThread
 {
     explicit TrafficThread(int number)
@@ -23,21 +23,21 @@
     HttpClient m_client;
 };
 
-/// What every request on the traffic threads works with.
+/// The traffic threads, and what all requests on them share.
 class Traffic
 {
 public:
     Traffic(const Clock &clock, int threads);
 
-    /// Joins the control side; called once, before any request.
+    /// Connects the control side. Must be called once, before any request.
     void attach(Control &control, FiberLoop &controlLoop);
 
     void start();
 
     std::vector<FiberLoop *> loops();
-    /// Returns the thread that the calling fiber runs on.
+    /// Returns the thread on which the calling fiber runs.
     TrafficThread &current();
-    /// Returns the threads in turn, for work that no caller's connection ties to one.
+    /// Returns the threads in turn, for work that isn't bound to a caller's connection.
     TrafficThread &next();
 
     /// Runs the work on the control loop, with the control state, and waits for its result.
@@ -48,7 +48,7 @@
                 [this, work = std::move(work)]() mutable { return work(*m_control); });
     }
 
-    /// Runs the work on the control loop some time soon.
+    /// Runs the work on the control loop later, without waiting.
     template <typename Work>
     void postToControl(Work work)
     {
@@ -56,10 +56,10 @@
     }
 
     const Clock &clock() const { return m_clock; }
-    /// Returns the process's metrics, which any thread may write to.
+    /// Returns the process's metrics, which any thread may update.
     Metrics &metrics() { return *m_metrics; }
     TimePoint now() const { return m_clock.now(); }
-    /// Returns an id that no other request of this process has.
+    /// Returns an id that is unique within this process.
     RequestId nextRequestId();
     Duration processorTime() const;
 
