--- a/include/gypsumdale/kernel/admission_driver.hpp
+++ b/include/gypsumdale/kernel/admission_driver.hpp
@@ -81,7 +81,7 @@
     {
         AdmissionController m_controller;
         RetryBudget m_budget;
-        std::map<RequestId, UpstreamId> m_placedAt;
+        std::map<RequestId, UpstreamId> m_placements;
     };
 
     Service &service(const ServiceId &id);
@@ -89,10 +89,10 @@
     void run(const ServiceId &id, const AdmissionCommands &commands);
     void execute(const ServiceId &id, const Dispatch &command);
     void execute(const ServiceId &id, const Refuse &command);
-    void settle(const RequestId &request, Placement placement);
+    void resolveWaiting(const RequestId &request, Placement placement);
     void refreshUpstreams();
     void refreshUpstream(Service &service, const UpstreamView &view);
-    void shareOwnLoad(const ServiceId &id, const UpstreamId &upstream);
+    void publishOwnLoad(const ServiceId &id, const UpstreamId &upstream);
     void poll();
 
     ControlContext &m_context;
--- a/include/gypsumdale/kernel/chunk_writer.hpp
+++ b/include/gypsumdale/kernel/chunk_writer.hpp
@@ -39,7 +39,7 @@
     std::string m_name;
     std::string m_service;
     /// Start of every chunk.
-    std::string m_head;
+    std::string m_chunkStart;
 };
 
 /// Appends a server-sent event with a custom name, which chat clients ignore.
--- a/include/gypsumdale/kernel/claim_driver.hpp
+++ b/include/gypsumdale/kernel/claim_driver.hpp
@@ -41,11 +41,11 @@
 
 private:
     ClaimResult await(ClaimTicket ticket);
-    ClaimResult claimHere(const ClaimRequest &request);
-    ClaimResult claimAt(const NodeIdentity &peer, const ClaimRequest &request);
+    ClaimResult claimLocally(const ClaimRequest &request);
+    ClaimResult claimRemotely(const NodeIdentity &peer, const ClaimRequest &request);
     std::optional<NodeIdentity> preferredPeer(ShardNumber shard) const;
     AttemptId nextAttempt();
-    void pump();
+    void executeCommands();
     void takeEvents();
     void execute(const ClaimDecided &event);
     void execute(const OutcomeRecorded &event);
--- a/include/gypsumdale/kernel/control.hpp
+++ b/include/gypsumdale/kernel/control.hpp
@@ -77,7 +77,7 @@
 
 private:
     void onSettingsChanged();
-    void listenToFleet();
+    void subscribeToFleet();
     wire::PeerReplyBody answerPeer(const NodeId &sender, const wire::PeerRequest &request);
     void onNodeChanged(const NodeStateChanged &change);
     void onOwnNotice(const LeavingNotice &notice);
@@ -91,7 +91,7 @@
     void runDrain();
     void refreshGauges();
     void countUpstreams();
-    void passOverSilentPeers();
+    void excludeSilentPeers();
     wire::VersionInForce ownVersion(const wire::VersionAsk &ask) const;
     wire::Decisions ownDecisions(const wire::DecisionsAsk &ask) const;
     std::vector<NodeId> liveLocalNodes() const;
--- a/include/gypsumdale/kernel/engine_call.hpp
+++ b/include/gypsumdale/kernel/engine_call.hpp
@@ -67,7 +67,7 @@
 private:
     EngineFailure failed(Error error) const;
     EngineResult<Done> refused(const HttpExchange &exchange) const;
-    Result<Done> takeEvent(std::string_view data);
+    Result<Done> processEvent(std::string_view data);
     EngineResult<EngineProgress> endOfBody();
 
     HttpClient &m_client;
--- a/include/gypsumdale/kernel/fleet_driver.hpp
+++ b/include/gypsumdale/kernel/fleet_driver.hpp
@@ -74,19 +74,19 @@
     void execute(const TokensReported &command);
     void execute(const ConfigDigestReceived &command);
     void probe(const ProbeUpstream &command);
-    void takeInFlight(const NodeId &sender, const wire::Heartbeat &heartbeat);
+    void applyInFlight(const NodeId &sender, const wire::Heartbeat &heartbeat);
     void runTicks();
     void readNotices();
     void readVmList();
     /// Returns the upstream on a VM: the one that the settings assign to the VM, or one with the
     /// VM's name.
     UpstreamId upstreamOn(const VmId &vm) const;
-    void takeNotice(const LeavingNotice &notice);
+    void applyNotice(const LeavingNotice &notice);
 
     ControlContext &m_context;
     FleetListeners m_listeners;
     PeerExchange m_exchange;
-    std::map<UpstreamId, StaticUpstream> m_declared;
+    std::map<UpstreamId, StaticUpstream> m_staticUpstreams;
     std::map<std::int64_t, UpstreamId> m_upstreamOfKey;
     std::map<NodeId, PeerLoad> m_loads;
     std::int64_t m_lastNotice = 0;
--- a/include/gypsumdale/kernel/job_call.hpp
+++ b/include/gypsumdale/kernel/job_call.hpp
@@ -30,10 +30,10 @@
 private:
     bool awaitAcceptance(JobFeed &feed);
     void follow(JobFeed &feed);
-    bool take(const FeedTokens &tokens);
-    void serve(const ServeFrom &answer, const std::shared_ptr<JobFeed> &feed);
-    void finishWhole(std::string_view finishReason, Finality finality);
-    void fetchEnd();
+    bool processTokens(const FeedTokens &tokens);
+    void sendStored(const ServeFrom &answer, const std::shared_ptr<JobFeed> &feed);
+    void sendEnd(std::string_view finishReason, Finality finality);
+    void sendRemainder();
     void sendReattachHint();
     void proxy(const wire::JobLocated &located, const HttpRequest &original);
     bool begin();
@@ -52,8 +52,8 @@
     RequestSeries *m_series = nullptr;
     TimePoint m_arrivedAt{};
     TimePoint m_lastTokenAt{};
-    std::vector<FeedTokens> m_early;
-    bool m_hasBegun = false;
+    std::vector<FeedTokens> m_earlyTokens;
+    bool m_hasStarted = false;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/kernel/job_driver.hpp
+++ b/include/gypsumdale/kernel/job_driver.hpp
@@ -119,10 +119,10 @@
     JobFeeds m_feeds;
     std::optional<wire::JobHoldAnswer> m_holdAnswer;
     std::optional<wire::JobHandOverAnswer> m_handOverAnswer;
-    NodeId m_answering;
+    NodeId m_answeredPeer;
     Duration m_retention = JobTableSettings().m_retention;
     bool m_isRunning = false;
-    bool m_platformUp = false;
+    bool m_isPlatformUp = false;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/kernel/job_logs.hpp
+++ b/include/gypsumdale/kernel/job_logs.hpp
@@ -17,8 +17,8 @@
 class JobLogs
 {
 public:
-    /// `onNews` is called after each update of the table.
-    JobLogs(ControlContext &context, JobTable &table, std::function<void()> onNews);
+    /// `onUpdate` is called after each update of the table.
+    JobLogs(ControlContext &context, JobTable &table, std::function<void()> onUpdate);
 
     void append(const JobLogId &id, const wire::JobRecord &record);
     /// Reads the log to its end and keeps it open.
@@ -44,19 +44,19 @@
         std::unique_ptr<PlatformLog> m_log;
         /// Applied segments that are not trimmed yet, oldest first.
         std::deque<Segment> m_segments;
-        bool m_isLeft = false;
+        bool m_isReleased = false;
     };
 
-    Log &named(const JobLogId &id);
-    void pump(const JobLogId &id);
+    Log &logFor(const JobLogId &id);
+    void executeCommands(const JobLogId &id);
     void takeEvents(const JobLogId &id);
     void handle(const JobLogId &id, const PlatformLogEvent &event);
-    static void noteSegment(Log &log, const RecordApplied &applied);
+    static void recordSegment(Log &log, const RecordApplied &applied);
     void trim(Log &log, Duration retention);
 
     ControlContext &m_context;
     JobTable &m_table;
-    std::function<void()> m_onNews;
+    std::function<void()> m_onUpdate;
     std::map<JobLogId, Log> m_logs;
 };
 
--- a/include/gypsumdale/kernel/model_call.hpp
+++ b/include/gypsumdale/kernel/model_call.hpp
@@ -31,7 +31,7 @@
     void run();
 
 private:
-    struct Ended
+    struct AttemptResult
     {
         AttemptEnd m_end = AttemptEnd::Completed;
         AttemptOutcome m_outcome = AttemptOutcome::NothingSent;
@@ -39,9 +39,9 @@
         bool m_isPermanent = false;
     };
 
-    Ended attempt(const Placed &placed);
-    Ended readStream(EngineCall &call);
-    Ended endedBy(const EngineFailure &failure) const;
+    AttemptResult attempt(const Placed &placed);
+    AttemptResult readStream(EngineCall &call);
+    AttemptResult resultOf(const EngineFailure &failure) const;
     bool writeTokens(const EngineProgress &progress);
     void reportProgress(bool isFinal);
     void finish();
@@ -51,7 +51,7 @@
     /// report.
     void reportCompleted();
     /// Reports a failed attempt and returns whether there is another one.
-    RetryDecision settle(const Ended &ended);
+    RetryDecision reportFailed(const AttemptResult &attemptResult);
     void onCallerGone();
 
     Traffic &m_traffic;
@@ -71,7 +71,7 @@
     TimePoint m_lastTokenAt{};
     TimePoint m_reportedAt{};
     std::int64_t m_reportedTokens = 0;
-    bool m_hasBegun = false;
+    bool m_hasStarted = false;
     bool m_hasFirstToken = false;
     bool m_isCallerGone = false;
 };
--- a/include/gypsumdale/kernel/plain_call.hpp
+++ b/include/gypsumdale/kernel/plain_call.hpp
@@ -23,25 +23,26 @@
     void run();
 
 private:
-    struct Ended
+    struct AttemptResult
     {
         CallPhase m_phase = CallPhase::NothingSent;
         HttpReply m_reply;
         Error m_error;
     };
 
-    bool isOnce() const { return m_context.m_profile->m_repeatSafety == RepeatSafety::Once; }
+    bool isAtMostOnce() const { return m_context.m_profile->m_repeatSafety == RepeatSafety::Once; }
     void runClaimed(const std::string &key);
     void runAttempts(const std::optional<AttemptId> &claimed);
-    Ended attempt(const Placed &placed);
-    Ended endedBy(const HttpReply &reply) const;
-    bool isCrossed(const HttpReply &reply) const;
+    AttemptResult attempt(const Placed &placed);
+    AttemptResult resultOf(const HttpReply &reply) const;
+    bool isForOtherRequest(const HttpReply &reply) const;
     /// Reports an answer. Returns without waiting, so that the caller isn't delayed; the control
     /// loop keeps the order, so the caller's next request is decided after the report.
     void reportAnswered();
     /// Reports an attempt without an answer and returns whether there is another one.
-    RetryDecision settle(const Ended &ended);
-    void conclude(const std::optional<AttemptId> &claimed, const Ended &ended, Duration retryAfter);
+    RetryDecision reportFailed(const AttemptResult &attemptResult);
+    void finishCall(const std::optional<AttemptId> &claimed, const AttemptResult &attemptResult,
+                    Duration retryAfter);
     void answer(const HttpReply &reply, Outcome outcome);
     void answerClaimed(const ClaimResult &result);
     void count(Outcome outcome, const Error &error);
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -15,21 +15,20 @@
 
 using namespace gypsumdale;
 
-/// What the process tells whoever started it.
+/// Exit codes of the process.
 enum class ExitCode {
     Ok = 0,
     Usage = 1,
     Findings = 2,
     NotStarted = 3,
-    /// It shut down, but requests or jobs were cut at the deadline.
+    /// The process shut down, but requests or jobs were cut off at the deadline.
     Cut = 4,
 };
 
 constexpr const char *description =
-        "One process of gypsumdale: takes callers' requests and routes them to upstreams.\n"
-        "Exit codes: 0 clean, 1 usage, 2 findings in the settings, 3 could not start, 4 work was "
-        "cut "
-        "at shutdown.\n"
+        "Runs one process of gypsumdale, which routes callers' requests to upstreams.\n"
+        "Exit codes: 0 success, 1 usage error, 2 findings in the settings, 3 start failed, "
+        "4 requests or jobs were cut off at shutdown.\n"
         "Example: gypsumdaled --settings samples/wholesale/node/olten-a-1.yaml\n"
         "On the users' platform: gypsumdaled --entry /etc/gypsumdale/settings.toml";
 
@@ -48,7 +47,7 @@
     return text.str();
 }
 
-/// Reads settings with their checker; prints all findings where there are any.
+/// Reads and validates settings; prints all findings.
 template <typename Settings>
 std::optional<Settings> readSettings(const std::string &path,
                                      Checked<Settings> (*check)(std::string_view,
@@ -90,7 +89,7 @@
     return exitWith(ExitCode::Ok);
 }
 
-/// Reads the settings again, but only if the file has changed since the last time.
+/// Reads the settings again if the file has changed since the last time.
 class SettingsFile
 {
 public:
--- a/src/kernel/admin_api.cpp
+++ b/src/kernel/admin_api.cpp
@@ -34,8 +34,8 @@
     return errorReply({ErrorId::NotFound, "no such path"});
 }
 
-/// Decodes one part of a path; nothing for a malformed one.
-std::optional<std::string> decoded(std::string_view text)
+/// Percent-decodes a path segment. Returns nothing if it is malformed.
+std::optional<std::string> percentDecoded(std::string_view text)
 {
     const auto view = boost::urls::make_pct_string_view(text);
     if (view.has_error())
@@ -43,8 +43,8 @@
     return view->decode();
 }
 
-/// Splits "KIND/NAME".
-std::optional<ConfigKey> keyIn(std::string_view text)
+/// Parses "KIND/NAME".
+std::optional<ConfigKey> parseConfigKey(std::string_view text)
 {
     const std::size_t slash = text.find('/');
     if (slash == std::string_view::npos)
@@ -52,7 +52,7 @@
     const auto kind = valueIn(settingsKindNames, text.substr(0, slash));
     if (!kind)
         return std::nullopt;
-    const auto name = decoded(text.substr(slash + 1));
+    const auto name = percentDecoded(text.substr(slash + 1));
     if (!name)
         return std::nullopt;
     return ConfigKey{*kind, *name};
@@ -84,9 +84,9 @@
     Json document;
     document["error"] =
             errorJson({ErrorId::PlatformConflict,
-                       conflict.m_isRead ? "another change came first"
-                                         : "another change came first; it can't be read "
-                                           "now"});
+                       conflict.m_isRead ? "the object was changed in the meantime"
+                                         : "the object was changed in the meantime; its current "
+                                           "version can't be read now"});
     document["edited"] = {{"version", conflict.m_editedVersion}, {"body", conflict.m_body}};
     if (conflict.m_current)
         document["current"] = {{"version", conflict.m_current->m_version},
@@ -110,7 +110,7 @@
         return errorReply(unknown->m_error, Outcome::Unknown);
     if (const auto *failed = std::get_if<EditFailed>(&step))
         return errorReply(failed->m_error, Outcome::NotRun);
-    return errorReply({ErrorId::Internal, "the edit did not end"});
+    return errorReply({ErrorId::Internal, "the edit ended without a result"});
 }
 
 } // namespace
@@ -151,11 +151,11 @@
 HttpReply AdminApi::answerOperator(const HttpRequest &request)
 {
     const std::string_view rest = request.path().substr(adminPrefix.size());
-    const auto below = [&](std::string_view prefix) {
+    const auto remainderAfter = [&](std::string_view prefix) {
         return rest.substr(prefix.size());
     };
     if (rest.starts_with("config/"))
-        return configReply(request, below("config/"));
+        return configReply(request, remainderAfter("config/"));
     if (rest == "drain")
         return drainReply(request);
     if (request.m_method != "GET")
@@ -173,9 +173,9 @@
     if (rest == "config")
         return configListReply();
     if (rest.starts_with("rollout/"))
-        return rolloutReply(below("rollout/"));
+        return rolloutReply(remainderAfter("rollout/"));
     if (rest.starts_with("explain/"))
-        return explainReply(below("explain/"));
+        return explainReply(remainderAfter("explain/"));
     return notFound();
 }
 
@@ -189,7 +189,7 @@
                                            static_cast<std::uint64_t>(trafficMillis));
         return &control.context().m_metrics;
     });
-    // Writing thousands of series takes milliseconds, which the control thread does not have.
+    // Outside the control thread, as formatting thousands of series takes milliseconds.
     reply.m_body = metrics->expose();
     return reply;
 }
@@ -228,8 +228,8 @@
                         {"ageMillis", 0}});
         for (const NodeView &view : control.fleet().membership().nodes()) {
             const auto version = control.peerVersion(view.m_identity.m_node);
-            const bool wasHeard = view.m_lastReceivedAt != TimePoint();
-            const auto age = wasHeard ? wholeMillis(context.now() - view.m_lastReceivedAt) : -1;
+            const bool wasReceived = view.m_lastReceivedAt != TimePoint();
+            const auto age = wasReceived ? wholeMillis(context.now() - view.m_lastReceivedAt) : -1;
             list.push_back({{"node", view.m_identity.m_node.text()},
                             {"dataCentre", view.m_identity.m_dataCentre.text()},
                             {"state", nodeStateText(view.m_state, view.m_isLeaving)},
@@ -313,7 +313,7 @@
 
 HttpReply AdminApi::configReply(const HttpRequest &request, std::string_view rest)
 {
-    const auto key = keyIn(rest);
+    const auto key = parseConfigKey(rest);
     if (!key)
         return notFound();
     if (request.m_method == "GET")
@@ -342,7 +342,8 @@
     const auto [end, error] =
             std::from_chars(text.data(), text.data() + text.size(), edit.m_editedVersion);
     if (error != std::errc() || end != text.data() + text.size())
-        return errorReply({ErrorId::RequestMalformed, "give the edited version, or 0 to create"});
+        return errorReply({ErrorId::RequestMalformed,
+                           "the parameter 'version' must be the edited version, or 0 to create"});
     edit.m_key = key;
     edit.m_body = request.m_body;
     const auto step = m_traffic.callControl([&](Control &control) {
@@ -355,25 +356,26 @@
 
 HttpReply AdminApi::rolloutReply(std::string_view rest)
 {
-    const auto key = keyIn(rest);
+    const auto key = parseConfigKey(rest);
     if (!key)
         return notFound();
-    struct Place
+    struct RolloutNode
     {
         std::string m_dataCentre;
         std::string m_node;
         std::optional<NodeIdentity> m_peer;
     };
     ConfigVersion version = 0;
-    const auto places = m_traffic.callControl([&](Control &control) {
+    const auto rolloutNodes = m_traffic.callControl([&](Control &control) {
         const NodeSettings &settings = control.context().m_settings;
         const auto object = control.config().store().inForce(*key);
         version = object ? object->m_version : 0;
-        std::vector<Place> result{
+        std::vector<RolloutNode> result{
                 {settings.m_dataCentre.text(), settings.m_node.text(), std::nullopt}};
         for (const NodeView &view : control.fleet().membership().nodes()) {
             const NodeIdentity &identity = view.m_identity;
-            // A dead node has nothing in force; listing it would keep a rollout from ever ending.
+            // A dead node has no version in force; if it were listed, a rollout would never be
+            // complete.
             if (view.m_state == NodeState::Dead)
                 continue;
             result.push_back({identity.m_dataCentre.text(), identity.m_node.text(), identity});
@@ -381,17 +383,17 @@
         return result;
     });
     std::map<std::string, Json> dataCentres;
-    for (const Place &place : places) {
+    for (const RolloutNode &rolloutNode : rolloutNodes) {
         std::optional<ConfigVersion> at = version;
-        if (place.m_peer) {
+        if (rolloutNode.m_peer) {
             at = m_traffic.callControl([&](Control &control) {
-                return control.queryVersion(*place.m_peer, *key, peerTimeout);
+                return control.queryVersion(*rolloutNode.m_peer, *key, peerTimeout);
             });
         }
-        Json entry{{"node", place.m_node}, {"version", nullptr}};
+        Json entry{{"node", rolloutNode.m_node}, {"version", nullptr}};
         if (at)
             entry["version"] = *at;
-        Json &list = dataCentres[place.m_dataCentre];
+        Json &list = dataCentres[rolloutNode.m_dataCentre];
         list.push_back(std::move(entry));
     }
     Json list = Json::array();
@@ -406,13 +408,13 @@
     const auto subject = decisionSubjectFrom(rest.substr(0, slash));
     if (slash == std::string_view::npos || !subject)
         return notFound();
-    const auto id = decoded(rest.substr(slash + 1));
+    const auto id = percentDecoded(rest.substr(slash + 1));
     if (!id)
         return notFound();
     const auto events = m_traffic.callControl(
             [&](Control &control) { return control.explain(*subject, *id, peerTimeout); });
     if (events.empty())
-        return errorReply({ErrorId::NotFound, "nothing is known of it"});
+        return errorReply({ErrorId::NotFound, "no decisions are recorded for it"});
     HttpReply reply;
     reply.m_headers.add("Content-Type", "application/json");
     reply.m_body = toJson(events);
@@ -440,8 +442,9 @@
         return true;
     });
     if (!isKnown)
-        return errorReply({ErrorId::NotFound,
-                           "no such upstream, or a node other than the one asked: ask that one"});
+        return errorReply(
+                {ErrorId::NotFound,
+                 "no such upstream, or the node is another one: send the request to that node"});
     return jsonReply({{"draining", upstream.empty() ? node : upstream}}, 202);
 }
 
--- a/src/kernel/admission_driver.cpp
+++ b/src/kernel/admission_driver.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 constexpr Duration pollInterval = std::chrono::milliseconds(20);
-/// Every so many polls all upstreams are read again, changed or not.
+/// Number of polls after which all upstreams are updated, changed or not.
 constexpr int pollsPerRefresh = 10;
 
-std::string_view sentence(ErrorId error)
+std::string_view refusalText(ErrorId error)
 {
     switch (error) {
     case ErrorId::QueueFull:
-        return "too many requests wait already";
+        return "too many requests are queued";
     case ErrorId::DeadlineUnreachable:
         return "the request can't be served in time";
     case ErrorId::MemberOverLimit:
@@ -100,7 +100,7 @@
 {
     if (!service(id).m_controller.cancel(request))
         return;
-    settle(request, NotPlaced{{ErrorId::Cancelled, "the caller has gone"}, {}});
+    resolveWaiting(request, NotPlaced{{ErrorId::Cancelled, "the caller disconnected"}, {}});
 }
 
 void AdmissionDriver::run(const ServiceId &id, const AdmissionCommands &commands)
@@ -112,23 +112,24 @@
 void AdmissionDriver::execute(const ServiceId &id, const Dispatch &command)
 {
     const UpstreamView *view = m_fleet.upstreams().find(command.m_upstream);
-    service(id).m_placedAt[command.m_request.m_id] = command.m_upstream;
+    service(id).m_placements[command.m_request.m_id] = command.m_upstream;
     m_context.m_journal.record(m_context.wallNow(), command.m_request.m_id, Decision::Routed,
                                DecisionReason::FreeSlot, command.m_upstream.text());
-    shareOwnLoad(id, command.m_upstream);
+    publishOwnLoad(id, command.m_upstream);
     Endpoint endpoint;
     if (view)
         endpoint = {view->m_declaration.m_address, view->m_declaration.m_port};
-    settle(command.m_request.m_id, Placed{command.m_upstream, endpoint});
+    resolveWaiting(command.m_request.m_id, Placed{command.m_upstream, endpoint});
 }
 
 void AdmissionDriver::execute(const ServiceId &, const Refuse &command)
 {
-    settle(command.m_request, NotPlaced{{command.m_error, std::string(sentence(command.m_error))},
-                                        command.m_retryAfter});
+    resolveWaiting(command.m_request,
+                   NotPlaced{{command.m_error, std::string(refusalText(command.m_error))},
+                             command.m_retryAfter});
 }
 
-void AdmissionDriver::settle(const RequestId &request, Placement placement)
+void AdmissionDriver::resolveWaiting(const RequestId &request, Placement placement)
 {
     auto waiting = m_waiting.extract(request);
     if (!waiting.empty())
@@ -154,19 +155,19 @@
 void AdmissionDriver::finishAttempt(const ServiceId &id, const RequestId &request, AttemptEnd end)
 {
     Service &target = service(id);
-    const auto placed = target.m_placedAt.extract(request);
+    const auto placed = target.m_placements.extract(request);
     run(id, target.m_controller.finishAttempt(request, end, m_context.now()));
     if (placed.empty())
         return;
     const UpstreamId &upstream = placed.mapped();
-    shareOwnLoad(id, upstream);
+    publishOwnLoad(id, upstream);
     if (end == AttemptEnd::Failed || end == AttemptEnd::Refused)
-        m_fleet.onRequestFailed(upstream, "a request failed there");
+        m_fleet.onRequestFailed(upstream, "a request to the upstream failed");
     if (end == AttemptEnd::Completed)
         m_fleet.onRequestSucceeded(upstream);
 }
 
-void AdmissionDriver::shareOwnLoad(const ServiceId &id, const UpstreamId &upstream)
+void AdmissionDriver::publishOwnLoad(const ServiceId &id, const UpstreamId &upstream)
 {
     const AdmissionController &controller = service(id).m_controller;
     m_fleet.exchange().setInFlight(upstream, static_cast<int>(controller.inFlightAt(upstream)));
--- a/src/kernel/caller_api.cpp
+++ b/src/kernel/caller_api.cpp
@@ -130,7 +130,7 @@
         const auto parsed = parsePosition(from);
         if (!parsed) {
             responder.send(
-                    errorReply({ErrorId::RequestMalformed, "a position is written EPOCH:OFFSET"}));
+                    errorReply({ErrorId::RequestMalformed, "the position must be EPOCH:OFFSET"}));
             return;
         }
         position = *parsed;
--- a/src/kernel/chat_request.cpp
+++ b/src/kernel/chat_request.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-/// A usual ratio for Latin scripts; only an estimate until the engine reports the true number.
+/// Typical ratio for Latin scripts; an estimate until the engine reports the actual number.
 constexpr std::size_t bytesPerToken = 4;
-constexpr std::uint32_t usualAnswerTokens = 256;
-constexpr std::uint32_t mostAnswerTokens = 1'000'000;
+constexpr std::uint32_t defaultAnswerTokens = 256;
+constexpr std::uint32_t maxAnswerTokens = 1'000'000;
 
 Error malformed(std::string text)
 {
@@ -40,9 +40,9 @@
 {
     const auto limit = document.find("max_tokens");
     if (limit == document.end() || !limit->is_number_unsigned())
-        return usualAnswerTokens;
+        return defaultAnswerTokens;
     return static_cast<std::uint32_t>(
-            std::min<std::uint64_t>(limit->get<std::uint64_t>(), mostAnswerTokens));
+            std::min<std::uint64_t>(limit->get<std::uint64_t>(), maxAnswerTokens));
 }
 
 } // namespace
@@ -54,17 +54,17 @@
         return malformed("the body is not a JSON object");
     const auto model = document.find("model");
     if (model == document.end() || !model->is_string())
-        return malformed("the body lacks a text 'model'");
+        return malformed("the body has no string 'model'");
     const auto messages = document.find("messages");
     if (messages == document.end() || !messages->is_array() || messages->empty())
-        return malformed("the body lacks a list 'messages'");
+        return malformed("the body has no non-empty array 'messages'");
     for (const nlohmann::json &message : *messages) {
         if (!message.is_object())
             return malformed("an entry of 'messages' is not an object");
     }
     const auto stream = document.find("stream");
     if (stream != document.end() && !stream->is_boolean())
-        return malformed("'stream' is neither true nor false");
+        return malformed("'stream' is not a boolean");
     ChatRequest request;
     request.m_service = ServiceId(model->get<std::string>());
     request.m_isStreamed = stream != document.end() && stream->get<bool>();
--- a/src/kernel/chunk_writer.cpp
+++ b/src/kernel/chunk_writer.cpp
@@ -18,7 +18,8 @@
     return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-/// Tells whether a text stands in JSON as it is: printable ASCII without quote and backslash.
+/// Returns whether a text is the same as a JSON string: printable ASCII without quote and
+/// backslash.
 bool needsNoEscape(std::string_view text)
 {
     return std::ranges::all_of(text, [](char character) {
@@ -27,7 +28,7 @@
     });
 }
 
-/// Appends a text as a JSON string. Most tokens are plain words, for which no document is built.
+/// Appends a text as a JSON string. Avoids a JSON document for plain words, which most tokens are.
 void appendJsonText(std::string &buffer, std::string_view text)
 {
     if (!needsNoEscape(text)) {
@@ -44,8 +45,8 @@
 ChunkWriter::ChunkWriter(std::string name, const ServiceId &service)
     : m_name(std::move(name))
     , m_service(service.text())
-    , m_head(fmt::format(R"(data: {{"id":{},"object":"chat.completion.chunk","model":{},)",
-                         jsonText(m_name), jsonText(m_service)))
+    , m_chunkStart(fmt::format(R"(data: {{"id":{},"object":"chat.completion.chunk","model":{},)",
+                               jsonText(m_name), jsonText(m_service)))
 {}
 
 void ChunkWriter::appendToken(std::string &buffer, std::int64_t index, std::string_view text,
@@ -54,7 +55,7 @@
     auto out = std::back_inserter(buffer);
     if (position)
         fmt::format_to(out, "id: {}\n", toText(*position));
-    buffer += m_head;
+    buffer += m_chunkStart;
     fmt::format_to(out, R"("token_index":{},"choices":[{{"index":0,"delta":{{"content":)", index);
     appendJsonText(buffer, text);
     buffer += "},\"finish_reason\":null}]}\n\n";
@@ -63,7 +64,7 @@
 void ChunkWriter::appendEnd(std::string &buffer, std::int64_t tokens, std::string_view finishReason,
                             Finality finality) const
 {
-    buffer += m_head;
+    buffer += m_chunkStart;
     if (finality == Finality::Provisional)
         buffer += R"("provisional":true,)";
     fmt::format_to(
--- a/src/kernel/claim_driver.cpp
+++ b/src/kernel/claim_driver.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr std::string_view claimsKind = "claims";
-constexpr Duration longestTimerSleep = std::chrono::milliseconds(50);
-/// A forwarded claim waits for one write of the platform at the other node.
+constexpr Duration maxTimerSleep = std::chrono::milliseconds(50);
+/// Long enough for one write to the platform by the other node.
 constexpr Duration forwardTimeout = std::chrono::seconds(2);
 
-std::string lifeOf(const ControlContext &context)
+std::string processName(const ControlContext &context)
 {
     return fmt::format("{}.{:x}", context.m_settings.m_node.text(), context.m_incarnation);
 }
@@ -88,7 +88,7 @@
 
 ClaimLedger makeLedger(const ControlContext &context)
 {
-    return ClaimLedgerBuilder(context.m_settings.m_node, lifeOf(context))
+    return ClaimLedgerBuilder(context.m_settings.m_node, processName(context))
             .shards(static_cast<ShardNumber>(context.m_settings.m_onceShards))
             .writeInterval(std::chrono::milliseconds(5))
             .build();
@@ -111,14 +111,14 @@
 {
     for (;;) {
         m_ledger.advance(m_context.moment());
-        pump();
-        const TimePoint wake = m_ledger.nextWake().value_or(m_context.now() + longestTimerSleep);
+        executeCommands();
+        const TimePoint wake = m_ledger.nextWake().value_or(m_context.now() + maxTimerSleep);
         sleepFiber(std::clamp<Duration>(wake - m_context.now(), std::chrono::milliseconds(1),
-                                        longestTimerSleep));
+                                        maxTimerSleep));
     }
 }
 
-void ClaimDriver::pump()
+void ClaimDriver::executeCommands()
 {
     while (auto command = m_ledger.next(m_context.moment())) {
         m_context.m_loop.spawn([this, command = std::move(*command)] {
@@ -126,7 +126,7 @@
                     performLogCommand(m_context.m_platform, claimsKind, shardName(command.m_shard),
                                       command.m_command);
             m_ledger.onAnswer(command.m_shard, answer, m_context.moment());
-            pump();
+            executeCommands();
         });
     }
     takeEvents();
@@ -168,7 +168,7 @@
                 m_ledger.appendForPeer(event.m_shard, event.m_record, m_context.moment());
         if (!succeeded(appended))
             m_context.m_log.failure("claim-record-lost", errorOf(appended));
-        pump();
+        executeCommands();
     });
 }
 
@@ -179,7 +179,7 @@
 
 AttemptId ClaimDriver::nextAttempt()
 {
-    return AttemptId(fmt::format("{}.{:x}", lifeOf(m_context), ++m_attempts));
+    return AttemptId(fmt::format("{}.{:x}", processName(m_context), ++m_attempts));
 }
 
 std::optional<NodeIdentity> ClaimDriver::preferredPeer(ShardNumber shard) const
@@ -202,25 +202,25 @@
     ClaimRequest request{member, key, bodyDigest, nextAttempt(), deadline};
     const auto peer = preferredPeer(m_ledger.shardOf(member, key));
     if (!peer)
-        return claimHere(request);
-    ClaimResult result = claimAt(*peer, request);
+        return claimLocally(request);
+    ClaimResult result = claimRemotely(*peer, request);
     const auto *notRun = std::get_if<NotRun>(&result);
     if (!notRun || notRun->m_reason != NotRunReason::PlatformOut)
         return result;
-    // The other node may be cut off from the platform while this one is not. Its attempt is dead;
-    // a new one is another claim.
+    // The other node may be cut off from the platform while this one isn't. The attempt of the
+    // first claim has ended, so this is a new claim with another attempt.
     request.m_attempt = nextAttempt();
-    return claimHere(request);
+    return claimLocally(request);
 }
 
-ClaimResult ClaimDriver::claimHere(const ClaimRequest &request)
+ClaimResult ClaimDriver::claimLocally(const ClaimRequest &request)
 {
     const ClaimTicket ticket = m_ledger.begin(request, m_context.moment());
-    pump();
+    executeCommands();
     return await(ticket);
 }
 
-ClaimResult ClaimDriver::claimAt(const NodeIdentity &peer, const ClaimRequest &request)
+ClaimResult ClaimDriver::claimRemotely(const NodeIdentity &peer, const ClaimRequest &request)
 {
     const ClaimTicket ticket = m_ledger.beginForwarded(request, m_context.moment());
     wire::ClaimForward forward;
@@ -238,7 +238,7 @@
     } else {
         m_ledger.onForwardLost(ticket, m_context.moment());
     }
-    pump();
+    executeCommands();
     return await(ticket);
 }
 
@@ -254,14 +254,14 @@
 bool ClaimDriver::startAttempt(const AttemptId &attempt)
 {
     const bool mayStart = m_ledger.start(attempt, m_context.moment());
-    pump();
+    executeCommands();
     return mayStart;
 }
 
 void ClaimDriver::finish(const AttemptId &attempt, Outcome outcome, const StoredAnswer &answer)
 {
     m_ledger.finish(attempt, outcome, answer, m_context.moment());
-    pump();
+    executeCommands();
 }
 
 wire::ClaimForwarded ClaimDriver::onForward(const NodeId &sender, const wire::ClaimForward &forward)
@@ -270,7 +270,7 @@
                                digestFrom(forward.bodyDigest), AttemptId(forward.attempt),
                                m_context.now() + std::chrono::milliseconds(forward.timeLeftMillis)};
     const ClaimTicket ticket = m_ledger.beginForPeer(request, sender, m_context.moment());
-    pump();
+    executeCommands();
     return toWire(await(ticket));
 }
 
@@ -280,7 +280,7 @@
                                                  record.record, m_context.moment());
     if (!succeeded(appended))
         m_context.m_log.failure("claim-record-lost", errorOf(appended));
-    pump();
+    executeCommands();
 }
 
 } // namespace gypsumdale
--- a/src/kernel/config_codec.cpp
+++ b/src/kernel/config_codec.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Thrift has no unsigned numbers; the bits travel as they are.
+/// Thrift has no unsigned integers, so the value is sent with the same bits.
 std::int64_t toBits(std::uint64_t value)
 {
     return static_cast<std::int64_t>(value);
--- a/src/kernel/config_driver.cpp
+++ b/src/kernel/config_driver.cpp
@@ -6,8 +6,9 @@
 namespace {
 
 constexpr Duration peerTimeout = std::chrono::seconds(2);
-/// The longest sleep of the timer fiber, so that a timer moved nearer is seen soon.
-constexpr Duration longestTimerSleep = std::chrono::milliseconds(100);
+/// Longest sleep of the timer fiber, so that it notices soon if a timer is moved to an earlier
+/// time.
+constexpr Duration maxTimerSleep = std::chrono::milliseconds(100);
 
 std::vector<NodeId> localPeersOf(const NodeSettings &settings)
 {
@@ -87,7 +88,7 @@
 {
     for (;;) {
         const Duration left = m_store.nextTimer() - m_context.now();
-        sleepFiber(std::clamp<Duration>(left, std::chrono::milliseconds(1), longestTimerSleep));
+        sleepFiber(std::clamp<Duration>(left, std::chrono::milliseconds(1), maxTimerSleep));
         run(m_store.onTimer(m_context.now()));
     }
 }
@@ -158,7 +159,7 @@
     m_context.m_loop.spawn([this, identity = *identity, body] {
         const TimePoint begun = m_context.now();
         const auto reply = m_context.m_peers.ask(identity, body, peerTimeout);
-        // A refused connection proves that no process of that node runs; silence proves nothing.
+        // A refused connection proves that no process of that node runs; a timeout proves nothing.
         if (!succeeded(reply) && errorOf(reply).m_id == ErrorId::PeerUnreachable)
             run(m_store.onPeerGone(identity.m_node, begun));
     });
--- a/src/kernel/control.cpp
+++ b/src/kernel/control.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr Duration drainTick = std::chrono::milliseconds(50);
-/// Gauges walk all upstreams, so they are set once a second only.
+/// Gauges iterate over all upstreams, so they are updated only once per second.
 constexpr int ticksPerGauges = 20;
 constexpr int ticksPerLogReport = 100;
-/// Well within the 12 s in which a version has to be in force everywhere.
-constexpr Duration peerSilence = std::chrono::seconds(6);
+/// Well below the 12 s within which a version must be in force everywhere.
+constexpr Duration maxPeerSilence = std::chrono::seconds(6);
 
 Endpoint endpointOf(const Address &address)
 {
@@ -51,7 +51,7 @@
         return listening;
     m_context.m_peers.setIncarnation(m_context.m_incarnation);
     m_config.onChange([this](const ConfigKey &) { onSettingsChanged(); });
-    listenToFleet();
+    subscribeToFleet();
     m_fleet.start();
     m_config.start();
     m_admission.start();
@@ -67,11 +67,11 @@
     const SettingsView &view = m_config.view();
     m_admission.onSettingsChanged();
     m_jobs.setRetention(view.fleet()->m_jobRetention);
-    // The ledger keeps all keys alike, so the longest promise decides.
+    // The ledger has one retention for all keys, so the longest one applies.
     m_claims.setRetention(std::max(view.fleet()->m_keyRetention, view.longestKeyRetention()));
 }
 
-void Control::listenToFleet()
+void Control::subscribeToFleet()
 {
     FleetListeners listeners;
     listeners.m_nodeChanged = [this](const NodeStateChanged &change) {
@@ -133,7 +133,7 @@
     context.m_service = claim.m_service;
     context.m_kind = claim.m_kind;
     context.m_arrivedAt = m_context.now();
-    // What a member may not use looks like what does not exist.
+    // A profile or service that a member may not use gets the same answer as a missing one.
     const bool mayUseProfile = context.m_profile && context.m_member
                                && context.m_member->allowsProfile(claim.m_profile)
                                && context.m_profile->allowsService(claim.m_service);
@@ -294,7 +294,7 @@
         deadline = m_context.now() + left;
     }
     const bool isZone = notice.m_cause == LeavingCause::ZoneReclaim;
-    // Jobs move at once: the notice may be shorter than it says.
+    // Jobs are handed over at once, as there may be less time than the notice says.
     m_jobs.onReclaimNotice(isZone ? ReclaimScope::OwnDataCentre : ReclaimScope::OwnVm);
     shutDown(isZone ? DrainCause::ZoneReclaim : DrainCause::VmReclaim, deadline);
 }
@@ -312,7 +312,7 @@
     for (int count = 0;; ++count) {
         if (count % ticksPerGauges == 0) {
             refreshGauges();
-            passOverSilentPeers();
+            excludeSilentPeers();
         }
         if (count % ticksPerLogReport == 0)
             m_context.m_log.reportSuppressed();
@@ -360,20 +360,21 @@
     metrics.assign(Counter::ControlProcessorMillis, static_cast<std::uint64_t>(millis.count()));
 }
 
-/// Failure guarded against: a VM of the data centre vanishes without a word, as VMs do every day.
-/// No host refuses, so nothing proves that it is gone, and its neighbours would keep new versions
-/// out of force until it is heard again. After this silence they pass it over. What is traded: a
-/// node that was only cut off, is alone with a new version and restarts while the platform is out
-/// could then come back with an older one.
-void Control::passOverSilentPeers()
+/// Excludes silent nodes of the own data centre from the acknowledgement of new versions. VMs
+/// vanish every day without notice. Then no host refuses the connection, so nothing proves that the
+/// VM is gone, and its peers would keep new versions out of force until it sends again. The
+/// price: a node that was only partitioned, is the only one with a new version and restarts during
+/// an outage of the platform can come back with an older version.
+void Control::excludeSilentPeers()
 {
     const TimePoint now = m_context.now();
     for (const SeedPeer &peer : m_context.m_settings.m_peers) {
         if (peer.m_dataCentre != m_context.m_settings.m_dataCentre)
             continue;
         const NodeView *view = m_fleet.membership().find(peer.m_node);
-        const TimePoint heard = std::max(view ? view->m_lastReceivedAt : m_startedAt, m_startedAt);
-        if (now - heard > peerSilence)
+        const TimePoint lastReceivedAt =
+                std::max(view ? view->m_lastReceivedAt : m_startedAt, m_startedAt);
+        if (now - lastReceivedAt > maxPeerSilence)
             m_config.onPeerSilent(peer.m_node);
     }
 }
--- a/src/kernel/daemon.cpp
+++ b/src/kernel/daemon.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-/// Ends the wait for signals once the shutdown is over.
-constexpr int endSignal = SIGUSR1;
+/// Ends the wait for signals after the shutdown.
+constexpr int shutdownEndSignal = SIGUSR1;
 
 Endpoint endpointOf(const Address &address)
 {
@@ -33,7 +33,7 @@
         return source.m_inline;
     std::ifstream file(source.m_file);
     if (!file)
-        return Error{ErrorId::SettingsUnreadable, "can't read the file of the peers' secret"};
+        return Error{ErrorId::SettingsUnreadable, "can't read the file with the peers' secret"};
     std::ostringstream text;
     text << file.rdbuf();
     std::string secret = text.str();
@@ -48,11 +48,11 @@
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
     sigaddset(&signals, SIGINT);
-    sigaddset(&signals, endSignal);
+    sigaddset(&signals, shutdownEndSignal);
     return signals;
 }
 
-/// Everything that one process consists of, in the order in which it is made.
+/// The components of one process, in the order of their construction.
 class Daemon
 {
 public:
@@ -141,7 +141,7 @@
     {
         m_cut = cut.m_requests + cut.m_jobs;
         m_isEnded = true;
-        kill(getpid(), endSignal);
+        kill(getpid(), shutdownEndSignal);
     }
 
     NodeSettings m_settings;
@@ -171,12 +171,13 @@
     const auto secret = readSecret(settings.m_peerSecret);
     if (!succeeded(secret))
         return errorOf(secret);
-    // Blocked before any thread begins, so that only this one, which waits for them, gets them.
+    // Blocked before any thread starts, so that only this thread, which waits for them, receives
+    // them.
     const sigset_t signals = handledSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    // Neither client nor server may end the process by writing to a connection that was closed.
+    // Writing to a closed connection must not end the process.
     std::signal(SIGPIPE, SIG_IGN);
-    // Its fibers refer to it until the process ends; see FiberLoop::stop.
+    // Never deleted, as its fibers refer to it until the process ends; see FiberLoop::stop.
     auto *daemon = new Daemon(settings, valueOf(secret));
     const auto started = daemon->start();
     if (!succeeded(started))
@@ -184,7 +185,7 @@
     while (!daemon->isEnded()) {
         int signal = 0;
         sigwait(&signals, &signal);
-        if (signal != endSignal)
+        if (signal != shutdownEndSignal)
             daemon->shutDown(DrainCause::Signal);
     }
     daemon->stop();
--- a/src/kernel/engine_call.cpp
+++ b/src/kernel/engine_call.cpp
@@ -39,9 +39,9 @@
     call.m_silenceTimeout = attempt.m_silenceTimeout;
     auto result = m_client.open(call);
     if (auto *failure = std::get_if<CallFailure>(&result)) {
-        // Failure guarded against: idle connections that something between the two ends has
-        // forgotten. It shows as silence after the request was sent; the siblings in the pool are
-        // as dead, so that each retry would wait as long.
+        // An idle connection may have been dropped by a device between the two ends, which shows as
+        // silence after the request was sent. The other pooled connections are then as dead, and
+        // each retry would wait as long.
         if (failure->m_phase != SendPhase::NothingSent)
             m_client.forget(attempt.m_endpoint);
         return EngineFailure{failure->m_error, failure->m_phase};
@@ -79,28 +79,29 @@
     if (!bytes)
         return endOfBody();
     const auto fed =
-            m_parser.feed(*bytes, [this](std::string_view data) { return takeEvent(data); });
+            m_parser.feed(*bytes, [this](std::string_view data) { return processEvent(data); });
     if (!succeeded(fed))
         return failed(errorOf(fed));
     progress.m_tokenCount = m_assembler.answer().tokens();
     progress.m_isComplete = m_assembler.hasCompleteAnswer();
     if (!progress.m_isComplete)
         return progress;
-    // The end marker was the last event; what is left is the body's own end, which lets the
-    // connection go back to the pool.
+    // The end marker was the last event; reading the end of the body returns the connection to the
+    // pool.
     const auto rest = m_exchange->read();
     (void)rest;
     m_exchange.reset();
     return progress;
 }
 
-Result<Done> EngineCall::takeEvent(std::string_view data)
+Result<Done> EngineCall::processEvent(std::string_view data)
 {
     const auto event = m_reader.read(data);
     if (!succeeded(event))
         return errorOf(event);
     if (const auto *token = std::get_if<TokenEvent>(&valueOf(event))) {
-        // Events of other attempts, late or crossed, are dropped and counted by the assembler.
+        // The assembler drops and counts events of other attempts, which may be late or
+        // misdirected.
         const EventVerdict verdict = m_assembler.addEvent(*token);
         if (verdict == EventVerdict::Gap)
             return Error{ErrorId::AnswerTruncated, "tokens are missing from the stream"};
--- a/src/kernel/fleet_driver.cpp
+++ b/src/kernel/fleet_driver.cpp
@@ -67,7 +67,7 @@
             upstream.m_vmClass, upstream.m_reclaimable};
 }
 
-/// Reads a load report; a service without one counts as up with the slots that settings give it.
+/// Parses a load report. A service without one (404) counts as live with the slots of its settings.
 std::optional<UpstreamLoad> loadFrom(const HttpReply &reply, const StaticUpstream *declared)
 {
     UpstreamLoad load;
@@ -92,7 +92,8 @@
     return load;
 }
 
-/// Asks the cloud, which settings must name. Returns what is no object if it did not answer well.
+/// Reads from the cloud, whose address must be in the settings. Returns a value that isn't an
+/// object if the call fails.
 nlohmann::json readCloud(const ControlContext &context, std::string target, Duration timeout)
 {
     HttpCall call;
@@ -145,7 +146,7 @@
 {
     std::vector<UpstreamDeclaration> declarations;
     for (const StaticUpstream &upstream : m_context.m_settings.m_upstreams) {
-        m_declared[upstream.m_id] = upstream;
+        m_staticUpstreams[upstream.m_id] = upstream;
         m_upstreamOfKey[upstreamKey(upstream.m_id)] = upstream.m_id;
         declarations.push_back(declarationOf(upstream));
     }
@@ -183,7 +184,7 @@
             m_exchange.recordHeartbeatBytes(m_context.m_peers.lastHeartbeatBytes());
         const wire::PeerReplyBody &body = valueOf(reply).body;
         if (body.__isset.heartbeat) {
-            takeInFlight(command.m_to.m_node, body.heartbeat);
+            applyInFlight(command.m_to.m_node, body.heartbeat);
             run(m_exchange.onReply(body.heartbeat, m_context.now(), m_context.wallNow()));
         }
         if (body.__isset.leavingNotices)
@@ -222,8 +223,8 @@
     call.m_connectTimeout = probeTimeout;
     call.m_headerTimeout = probeTimeout;
     call.m_silenceTimeout = probeTimeout;
-    // A pooled connection may be silent for good while the upstream is well, and the other way
-    // round: only a new connection tells whether new work would get through.
+    // A pooled connection may be permanently silent while the upstream is healthy, and the reverse;
+    // only a new connection shows whether new requests would get through.
     call.m_freshConnection = true;
     const auto result = m_context.m_http.call(call);
     if (const auto *failure = std::get_if<CallFailure>(&result)) {
@@ -235,10 +236,9 @@
     if (load)
         run(m_exchange.onLoad(command.m_upstream, *load, m_context.now()));
     else
-        run(m_exchange.onProbeFailed(
-                command.m_upstream,
-                fmt::format("its load report came with status {}", reply.m_status),
-                m_context.now()));
+        run(m_exchange.onProbeFailed(command.m_upstream,
+                                     fmt::format("no valid load report, status {}", reply.m_status),
+                                     m_context.now()));
 }
 
 void FleetDriver::execute(const UpstreamStateChanged &command)
@@ -272,7 +272,7 @@
         m_listeners.m_configSeen(command);
 }
 
-void FleetDriver::takeInFlight(const NodeId &sender, const wire::Heartbeat &heartbeat)
+void FleetDriver::applyInFlight(const NodeId &sender, const wire::Heartbeat &heartbeat)
 {
     if (heartbeat.dataCentre != m_context.m_settings.m_dataCentre.text())
         return;
@@ -292,7 +292,7 @@
 
 wire::Heartbeat FleetDriver::onHeartbeat(const NodeId &sender, const wire::Heartbeat &heartbeat)
 {
-    takeInFlight(sender, heartbeat);
+    applyInFlight(sender, heartbeat);
     PeerExchange::Answered answered =
             m_exchange.onHeartbeat(heartbeat, m_context.now(), m_context.wallNow());
     run(answered.m_commands);
@@ -302,7 +302,7 @@
 void FleetDriver::onNotices(const NodeId &sender, const wire::LeavingNotices &notices)
 {
     for (const wire::LeavingNotice &notice : notices.notices)
-        takeNotice(wire::fromWire(notice));
+        applyNotice(wire::fromWire(notice));
     run(m_exchange.onNotices(notices, sender, m_context.now(), m_context.wallNow()));
 }
 
@@ -342,28 +342,28 @@
 
 const StaticUpstream *FleetDriver::declared(const UpstreamId &upstream) const
 {
-    const auto found = m_declared.find(upstream);
-    return found == m_declared.end() ? nullptr : &found->second;
+    const auto found = m_staticUpstreams.find(upstream);
+    return found == m_staticUpstreams.end() ? nullptr : &found->second;
 }
 
 UpstreamId FleetDriver::upstreamOn(const VmId &vm) const
 {
-    for (const auto &[id, upstream] : m_declared) {
+    for (const auto &[id, upstream] : m_staticUpstreams) {
         if (upstream.m_vm == vm)
             return id;
     }
     return UpstreamId(vm.text());
 }
 
-void FleetDriver::takeNotice(const LeavingNotice &notice)
+void FleetDriver::applyNotice(const LeavingNotice &notice)
 {
     const NodeSettings &settings = m_context.m_settings;
-    // The entry VM's own name in the cloud is the node's name.
+    // The cloud knows the entry VM by the name of the node.
     const bool concernsVm = notice.m_vm.text() == settings.m_node.text();
     const bool concernsZone = notice.m_zone == settings.m_dataCentre;
-    // Failure guarded against: a process that starts on a new VM reads the notices from the first
-    // one on, and would shut down for a reclaim that its predecessor died of. A notice that was
-    // over before this life began can't be about it.
+    // A process on a new VM reads the notices from the first one on, and would shut down because of
+    // the reclaim that ended its predecessor. A notice that expired before this process started
+    // can't concern it.
     const bool isOver = notice.m_deadline != 0 && notice.m_deadline <= m_context.m_incarnation;
     if (isOver)
         return;
@@ -374,7 +374,7 @@
 void FleetDriver::readNotices()
 {
     for (;;) {
-        // Two nodes of a data centre read the notices; the others hear of them from these.
+        // Two nodes of a data centre read the notices and send them to the others.
         if (!isRendezvousChoice(noticeReaderKey, membership().dutyNodes(), noticeReaders,
                                 m_context.m_settings.m_node)) {
             sleepFiber(cloudRetry);
@@ -396,7 +396,7 @@
                                             DataCentreId(entry.value("zone", "")),
                                             entry.value("deadlineMillis", std::int64_t{0}),
                                             entry.value("sequence", std::int64_t{0})));
-            takeNotice(notices.back());
+            applyNotice(notices.back());
         }
         m_context.m_metrics.add(Counter::ReclaimNotices, notices.size());
         run(m_exchange.onNotices(notices, m_context.now(), m_context.wallNow()));
--- a/src/kernel/job_call.cpp
+++ b/src/kernel/job_call.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// The request has to fit, with its overhead, into one record of the job's log.
+/// The request and its overhead must fit into one record of the job's log.
 constexpr std::size_t maxJobBytes = std::size_t{512} * 1024;
 constexpr Duration offerRetryAfter = std::chrono::seconds(2);
-/// One time for all answers to a reattachment that has nothing to read: another member's job must
-/// not be told from none by it.
+/// The same for all failed reattachments, so that it doesn't reveal whether the job exists and
+/// belongs to another member.
 constexpr Duration reattachRetryAfter = std::chrono::seconds(1);
-/// Marks a request that another node passes on, so that it is never passed on again.
+/// Marks a request that was forwarded by another node and must not be forwarded again.
 constexpr std::string_view forwardedHeader = "X-Gypsumdale-Forwarded";
-constexpr Duration proxySilence = std::chrono::minutes(5);
+constexpr Duration maxProxySilence = std::chrono::minutes(5);
 
 } // namespace
 
@@ -61,8 +61,8 @@
     m_writer.emplace(m_job.text(), context.m_service);
     if (!awaitAcceptance(*feed))
         return;
-    for (const FeedTokens &tokens : m_early) {
-        if (!take(tokens))
+    for (const FeedTokens &tokens : m_earlyTokens) {
+        if (!processTokens(tokens))
             return;
     }
     follow(*feed);
@@ -74,7 +74,7 @@
         if (std::holds_alternative<FeedAccepted>(*event))
             return m_collected || begin();
         if (const auto *tokens = std::get_if<FeedTokens>(&*event)) {
-            m_early.push_back(*tokens);
+            m_earlyTokens.push_back(*tokens);
             continue;
         }
         const auto *refused = std::get_if<FeedRefused>(&*event);
@@ -92,9 +92,9 @@
 
 bool JobCall::begin()
 {
-    if (m_hasBegun || m_collected)
+    if (m_hasStarted || m_collected)
         return true;
-    m_hasBegun = true;
+    m_hasStarted = true;
     HttpHeaders headers;
     headers.add("Content-Type", "text/event-stream");
     headers.add("Cache-Control", "no-store");
@@ -106,18 +106,18 @@
 {
     if (m_buffer.empty())
         return true;
-    const bool isTaken = m_responder.write(m_buffer);
+    const bool isWritten = m_responder.write(m_buffer);
     m_buffer.clear();
-    return isTaken;
+    return isWritten;
 }
 
-bool JobCall::take(const FeedTokens &tokens)
+bool JobCall::processTokens(const FeedTokens &tokens)
 {
     const std::int64_t end = tokens.m_firstToken + tokens.m_tokens.tokens();
     if (end <= m_position.m_offset)
         return true;
     const std::int64_t skipped = m_position.m_offset - tokens.m_firstToken;
-    // A gap can't be bridged here; the caller comes back and is served from the job's memory.
+    // Tokens are missing; the caller reattaches and gets them from the stored job.
     if (skipped < 0) {
         sendReattachHint();
         return false;
@@ -143,13 +143,13 @@
 {
     while (const auto event = feed.next()) {
         if (const auto *tokens = std::get_if<FeedTokens>(&*event)) {
-            if (!take(*tokens)) {
+            if (!processTokens(*tokens)) {
                 feed.close();
                 return;
             }
         }
         if (std::holds_alternative<FeedEnded>(*event)) {
-            fetchEnd();
+            sendRemainder();
             return;
         }
         if (std::holds_alternative<FeedMoved>(*event)
@@ -161,19 +161,20 @@
     sendReattachHint();
 }
 
-void JobCall::fetchEnd()
+void JobCall::sendRemainder()
 {
-    // What the feed had no room for, or brought after the end, is read from the finished answer.
+    // Events that didn't fit into the feed, or came after its end, are read from the finished
+    // answer.
     auto [answer, feed] = m_traffic.callControl([this](Control &control) {
         return control.jobs().reattach(m_job, m_member, m_position);
     });
     if (const auto *served = std::get_if<ServeFrom>(&answer))
-        serve(*served, feed);
+        sendStored(*served, feed);
     else
         sendReattachHint();
 }
 
-void JobCall::serve(const ServeFrom &answer, const std::shared_ptr<JobFeed> &feed)
+void JobCall::sendStored(const ServeFrom &answer, const std::shared_ptr<JobFeed> &feed)
 {
     if (!begin())
         return;
@@ -188,11 +189,11 @@
     if (!write())
         return;
     if (answer.m_state == JobState::Finished) {
-        finishWhole(answer.m_finishReason, Finality::Final);
+        sendEnd(answer.m_finishReason, Finality::Final);
         return;
     }
     if (answer.m_state == JobState::Provisional) {
-        finishWhole(answer.m_finishReason, Finality::Provisional);
+        sendEnd(answer.m_finishReason, Finality::Provisional);
         return;
     }
     if (feed && !isOver(answer.m_state)) {
@@ -202,7 +203,7 @@
     const Error error{answer.m_state == JobState::Expired ? ErrorId::JobExpired
                                                           : ErrorId::UpstreamFailed,
                       answer.m_finishReason.empty() ? "the job failed" : answer.m_finishReason};
-    if (m_collected || !m_hasBegun) {
+    if (m_collected || !m_hasStarted) {
         m_responder.send(errorReply(error));
         return;
     }
@@ -210,7 +211,7 @@
     write();
 }
 
-void JobCall::finishWhole(std::string_view finishReason, Finality finality)
+void JobCall::sendEnd(std::string_view finishReason, Finality finality)
 {
     if (m_series) {
         m_series->record(Latency::Total, m_traffic.now() - m_arrivedAt);
@@ -235,8 +236,8 @@
 {
     if (m_collected) {
         HttpReply reply = errorReply(
-                {ErrorId::PeerUnreachable,
-                 "the job goes on elsewhere: read it at /v1/jobs/" + m_job.text() + "/events"},
+                {ErrorId::PeerUnreachable, "the job continues on another node: read it at /v1/jobs/"
+                                                   + m_job.text() + "/events"},
                 reattachRetryAfter);
         reply.m_headers.add("X-Job-Id", m_job.text());
         m_responder.send(reply);
@@ -244,8 +245,8 @@
     }
     if (!begin())
         return;
-    // A proper end of the body, but without the answer's end marker: the caller knows that the
-    // answer is not whole, and where to go on.
+    // Ends the body properly but without the answer's end marker, so that the caller knows that the
+    // answer is incomplete and where to continue.
     appendNamedEvent(
             m_buffer, "reattach",
             fmt::format(R"({{"job":"{}","position":"{}"}})", m_job.text(), toText(m_position)));
@@ -265,7 +266,7 @@
             return control.jobs().reattach(m_job, m_member, m_position);
         });
         if (const auto *served = std::get_if<ServeFrom>(&answer)) {
-            serve(*served, feed);
+            sendStored(*served, feed);
             return;
         }
         if (const auto *cut = std::get_if<DiscardTokens>(&answer)) {
@@ -290,8 +291,8 @@
         const Error error = std::holds_alternative<Error>(answer)
                                     ? std::get<Error>(answer)
                                     : Error{ErrorId::PeerUnreachable,
-                                            "the node that has the job can't be reached now"};
-        if (!m_hasBegun)
+                                            "the node that has the job is unreachable"};
+        if (!m_hasStarted)
             m_responder.send(errorReply(error, reattachRetryAfter));
         return;
     }
@@ -305,16 +306,16 @@
     call.m_headers.add("Authorization", std::string(original.m_headers.value("Authorization")));
     call.m_headers.add("Last-Event-ID", toText(m_position));
     call.m_headers.add(std::string(forwardedHeader), "1");
-    call.m_silenceTimeout = proxySilence;
+    call.m_silenceTimeout = maxProxySilence;
     auto result = m_traffic.current().m_client.open(call);
     if (const auto *failure = std::get_if<CallFailure>(&result)) {
-        if (!m_hasBegun)
+        if (!m_hasStarted)
             m_responder.send(errorReply(failure->m_error, reattachRetryAfter));
         return;
     }
     HttpExchange exchange = std::get<HttpExchange>(std::move(result));
     if (exchange.status() != statusOk) {
-        if (!m_hasBegun)
+        if (!m_hasStarted)
             m_responder.send(errorReply({ErrorId::JobUnknown, "no such job"}, reattachRetryAfter));
         return;
     }
--- a/src/kernel/job_driver.cpp
+++ b/src/kernel/job_driver.cpp
@@ -19,7 +19,7 @@
     JobTableSettings settings;
     settings.m_self = {context.m_settings.m_node, context.m_incarnation};
     settings.m_dataCentre = context.m_settings.m_dataCentre;
-    // Job names must not be guessable, and no two processes may draw the same.
+    // Job names must be unguessable, and unique across processes.
     std::random_device device;
     settings.m_seed = (std::uint64_t{device()} << 32U) | device();
     return settings;
@@ -47,8 +47,8 @@
 {
     for (;;) {
         const bool isReachable = m_context.m_platform.isReachable();
-        if (isReachable != m_platformUp) {
-            m_platformUp = isReachable;
+        if (isReachable != m_isPlatformUp) {
+            m_isPlatformUp = isReachable;
             m_context.m_log.info("platform-state",
                                  {{LogField::State, isReachable ? "up" : "down"}});
             m_table.onPlatformChanged(isReachable, m_context.now());
@@ -100,7 +100,8 @@
     }
 }
 
-/// A caller that has to cut back has tokens of a lost generation: so many are generated again.
+/// Counts the tokens that are generated again because a caller received them from a generation that
+/// was lost.
 void JobDriver::countRecomputed(const JobId &job, const MemberId &member, std::int64_t tokens)
 {
     const std::vector<JobSummary> summaries = m_table.summaries();
@@ -132,7 +133,7 @@
 {
     m_table.onTokens(job, attempt, firstToken, tokens, m_context.now());
     const auto running = m_running.find(job);
-    // Events of an attempt that was given up must not reach the callers either.
+    // Events of an abandoned attempt must not reach the callers either.
     if (running != m_running.end() && running->second.m_attempt == attempt)
         m_feeds.tell(job, FeedTokens{epoch, firstToken, tokens}, false);
     run();
@@ -200,10 +201,10 @@
 wire::JobHoldAnswer JobDriver::onHold(const NodeId &sender, const wire::JobHold &hold)
 {
     m_holdAnswer.reset();
-    m_answering = sender;
+    m_answeredPeer = sender;
     m_table.onHoldRequest(sender, hold, m_context.now());
     run();
-    m_answering = NodeId();
+    m_answeredPeer = NodeId();
     return m_holdAnswer.value_or(wire::JobHoldAnswer());
 }
 
@@ -217,10 +218,10 @@
                                               const wire::JobHandOver &handOver)
 {
     m_handOverAnswer.reset();
-    m_answering = sender;
+    m_answeredPeer = sender;
     m_table.onHandOverRequest(sender, handOver, m_context.now());
     run();
-    m_answering = NodeId();
+    m_answeredPeer = NodeId();
     return m_handOverAnswer.value_or(wire::JobHandOverAnswer());
 }
 
@@ -243,7 +244,7 @@
 
 void JobDriver::run()
 {
-    // Carrying out a command may leave further ones; the outer call takes them.
+    // Executing a command may add further ones, which the outer call executes.
     if (m_isRunning)
         return;
     m_isRunning = true;
@@ -302,7 +303,7 @@
 
 void JobDriver::execute(const AnswerHold &command)
 {
-    if (command.m_peer == m_answering) {
+    if (command.m_peer == m_answeredPeer) {
         m_holdAnswer = command.m_answer;
         return;
     }
@@ -324,7 +325,7 @@
 
 void JobDriver::execute(const AnswerHandOver &command)
 {
-    if (command.m_peer == m_answering) {
+    if (command.m_peer == m_answeredPeer) {
         m_handOverAnswer = command.m_answer;
         return;
     }
--- a/src/kernel/job_logs.cpp
+++ b/src/kernel/job_logs.cpp
@@ -13,19 +13,20 @@
 namespace {
 
 constexpr std::string_view jobsKind = "jobs";
-/// An offer's record holds the whole request, and a segment has to stay below the platform's 1 MiB.
+/// The record of an offer contains the complete request, and a segment must stay below the
+/// platform's limit of 1 MiB.
 constexpr std::size_t maxRecordBytes = std::size_t{768} * 1024;
 constexpr std::size_t maxSegmentBytes = std::size_t{900} * 1024;
 
 } // namespace
 
-JobLogs::JobLogs(ControlContext &context, JobTable &table, std::function<void()> onNews)
+JobLogs::JobLogs(ControlContext &context, JobTable &table, std::function<void()> onUpdate)
     : m_context(context)
     , m_table(table)
-    , m_onNews(std::move(onNews))
+    , m_onUpdate(std::move(onUpdate))
 {}
 
-JobLogs::Log &JobLogs::named(const JobLogId &id)
+JobLogs::Log &JobLogs::logFor(const JobLogId &id)
 {
     Log &log = m_logs[id];
     if (!log.m_log) {
@@ -36,41 +37,41 @@
                 fmt::format("{}.{:x}", m_context.m_settings.m_node.text(), m_context.m_incarnation);
         log.m_log = std::make_unique<PlatformLog>(settings);
     }
-    log.m_isLeft = false;
+    log.m_isReleased = false;
     return log;
 }
 
 void JobLogs::append(const JobLogId &id, const wire::JobRecord &record)
 {
-    const auto ticket = named(id).m_log->append(wire::encode(record));
+    const auto ticket = logFor(id).m_log->append(wire::encode(record));
     if (!succeeded(ticket)) {
         m_context.m_log.failure("job-record-not-appended", errorOf(ticket));
         m_table.onAppendLost(id, m_context.now());
     }
-    pump(id);
+    executeCommands(id);
 }
 
 void JobLogs::follow(const JobLogId &id)
 {
-    named(id).m_log->refresh();
-    pump(id);
+    logFor(id).m_log->refresh();
+    executeCommands(id);
 }
 
 void JobLogs::leave(const JobLogId &id)
 {
     const auto found = m_logs.find(id);
     if (found != m_logs.end())
-        found->second.m_isLeft = true;
+        found->second.m_isReleased = true;
 }
 
 void JobLogs::tick(Duration retention)
 {
     for (auto &[id, log] : m_logs) {
         trim(log, retention);
-        pump(id);
+        executeCommands(id);
     }
     std::erase_if(m_logs, [](const auto &entry) {
-        return entry.second.m_isLeft && !entry.second.m_log->hasOutstanding();
+        return entry.second.m_isReleased && !entry.second.m_log->hasOutstanding();
     });
 }
 
@@ -84,10 +85,10 @@
     for (const PlatformObject &object : objects->m_objects)
         names.insert(JobLogId(object.m_name.substr(0, object.m_name.rfind('/'))));
     m_table.onLogsListed({names.begin(), names.end()}, m_context.now());
-    m_onNews();
+    m_onUpdate();
 }
 
-void JobLogs::pump(const JobLogId &id)
+void JobLogs::executeCommands(const JobLogId &id)
 {
     const auto found = m_logs.find(id);
     if (found == m_logs.end())
@@ -103,8 +104,8 @@
             return;
         log->second.m_log->onAnswer(answer, m_context.moment());
         takeEvents(id);
-        m_onNews();
-        pump(id);
+        m_onUpdate();
+        executeCommands(id);
     });
 }
 
@@ -117,7 +118,7 @@
 void JobLogs::handle(const JobLogId &id, const PlatformLogEvent &event)
 {
     if (const auto *applied = std::get_if<RecordApplied>(&event)) {
-        noteSegment(m_logs.at(id), *applied);
+        recordSegment(m_logs.at(id), *applied);
         const auto record = wire::decode<wire::JobRecord>(applied->m_record);
         if (succeeded(record))
             m_table.onRecordApplied(id, valueOf(record), m_context.now());
@@ -130,21 +131,21 @@
         m_context.m_log.error("job-log-corrupt", {{LogField::Text, corrupt->m_reason}});
 }
 
-void JobLogs::noteSegment(Log &log, const RecordApplied &applied)
+void JobLogs::recordSegment(Log &log, const RecordApplied &applied)
 {
     const bool isNew = log.m_segments.empty() || log.m_segments.back().m_number < applied.m_number;
     if (isNew)
         log.m_segments.push_back({applied.m_number, applied.m_writtenAt});
 }
 
-/// Failure guarded against: segments pile up in the platform without end, and each listing of the
-/// logs grows with them. What is older than the longest life of a job and the retention together
-/// names no job that anybody may still ask for.
+/// Without trimming, segments would accumulate in the platform without limit, and each listing of
+/// the logs would grow with them. Segments older than the longest life of a job plus the retention
+/// belong only to jobs that nobody may ask for any more.
 void JobLogs::trim(Log &log, Duration retention)
 {
-    const auto horizon = std::chrono::duration_cast<std::chrono::milliseconds>(
+    const auto maxAge = std::chrono::duration_cast<std::chrono::milliseconds>(
             JobTableSettings().m_maximumJobAge + retention);
-    const WallMillis oldest = m_context.wallNow() - horizon.count();
+    const WallMillis oldest = m_context.wallNow() - maxAge.count();
     while (!log.m_segments.empty() && log.m_segments.front().m_writtenAt < oldest) {
         log.m_log->trimBefore(log.m_segments.front().m_number + 1);
         log.m_segments.pop_front();
--- a/src/kernel/job_runner.cpp
+++ b/src/kernel/job_runner.cpp
@@ -12,8 +12,8 @@
 
 } // namespace
 
-/// One attempt at a job: placed like any request, its tokens reported to the job table as they
-/// come.
+/// One attempt of a job: admitted like any other request, with its tokens reported to the job table
+/// as they arrive.
 class JobRunner::Attempt
 {
 public:
@@ -25,7 +25,7 @@
         , m_assembler(m_command.m_soFar)
     {}
 
-    /// Runs on the attempt's own traffic loop.
+    /// Runs in a fiber of the attempt's own traffic loop.
     void run()
     {
         const auto request = ChatRequest::parse(m_command.m_request.m_body);
@@ -47,7 +47,7 @@
         });
     }
 
-    /// Closes the attempt's connection; from the control loop.
+    /// Closes the attempt's connection. Called on the control loop.
     void cancel(const std::shared_ptr<Attempt> &self)
     {
         m_isCancelled = true;
@@ -74,7 +74,7 @@
         waiting.m_prefixBlocks = request.prefixBlocks();
         return m_traffic.callControl([&](Control &control) {
             const auto profile = control.config().view().profile(waiting.m_profile);
-            // An accepted job waits as long as it takes; its deadline is the table's to watch.
+            // An accepted job waits without a deadline here; the job table enforces its deadline.
             waiting.m_arrivedAt = control.context().now();
             waiting.m_priority = profile ? profile->m_priority : 0;
             m_priority = waiting.m_priority;
@@ -122,15 +122,15 @@
 
     void reportTokens(const EngineProgress &progress)
     {
-        AnswerText fresh;
+        AnswerText newTokens;
         for (std::int64_t index = progress.m_firstNewToken; index < progress.m_tokenCount; ++index)
-            fresh.append(m_assembler.answer().token(index));
+            newTokens.append(m_assembler.answer().token(index));
         m_traffic.postToControl([command = key(), epoch = m_command.m_epoch,
                                  from = progress.m_firstNewToken,
                                  service = m_command.m_request.m_service, id = requestId(),
-                                 fresh = std::move(fresh)](Control &control) {
-            control.admission().tokens(service, id, static_cast<std::uint32_t>(fresh.tokens()));
-            control.jobs().onTokens(command.first, command.second, epoch, from, fresh);
+                                 newTokens = std::move(newTokens)](Control &control) {
+            control.admission().tokens(service, id, static_cast<std::uint32_t>(newTokens.tokens()));
+            control.jobs().onTokens(command.first, command.second, epoch, from, newTokens);
         });
     }
 
--- a/src/kernel/log_io.cpp
+++ b/src/kernel/log_io.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// How long a log waits after an answer was lost, if the platform named no time.
-constexpr Duration defaultRetry = std::chrono::milliseconds(250);
+/// Delay of a log after a lost answer, unless the platform gave a retry-after.
+constexpr Duration defaultRetryAfter = std::chrono::milliseconds(250);
 
 LogAnswer failureAnswer(const PlatformFailure &failure)
 {
     const Duration wait =
-            failure.m_retryAfter > Duration::zero() ? failure.m_retryAfter : defaultRetry;
+            failure.m_retryAfter > Duration::zero() ? failure.m_retryAfter : defaultRetryAfter;
     if (failure.m_failureKind == PlatformFailureKind::NoEffect)
         return LogRefused{wait};
     return LogAnswerLost{wait};
--- a/src/kernel/model_call.cpp
+++ b/src/kernel/model_call.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// How often progress is reported to the control thread, for shares and rates.
+/// Interval of progress reports to the control thread, for fair shares and rates.
 constexpr Duration reportInterval = std::chrono::milliseconds(100);
-/// A stream's silence that is taken for a connection which is silent for good.
+/// Silence of a stream after which its connection counts as dead.
 constexpr Duration silenceTimeout = std::chrono::seconds(10);
 
 HttpHeaders streamHeaders(const RequestId &request)
@@ -77,17 +77,17 @@
             refuse(notPlaced->m_error, notPlaced->m_retryAfter);
             break;
         }
-        const Ended ended = attempt(std::get<Placed>(placement));
-        if (ended.m_end == AttemptEnd::Completed) {
+        const AttemptResult attemptResult = attempt(std::get<Placed>(placement));
+        if (attemptResult.m_end == AttemptEnd::Completed) {
             reportCompleted();
             finish();
             break;
         }
-        m_truncated += ended.m_error.m_id == ErrorId::AnswerTruncated ? 1 : 0;
-        const RetryDecision decision = settle(ended);
+        m_truncated += attemptResult.m_error.m_id == ErrorId::AnswerTruncated ? 1 : 0;
+        const RetryDecision decision = reportFailed(attemptResult);
         const auto *retry = std::get_if<Retry>(&decision);
         if (!retry || m_isCallerGone) {
-            refuse(ended.m_error, Duration::zero());
+            refuse(attemptResult.m_error, Duration::zero());
             break;
         }
         m_info = retry->m_next;
@@ -99,14 +99,14 @@
     countDroppedEvents(m_traffic.metrics(), m_assembler);
 }
 
-ModelCall::Ended ModelCall::attempt(const Placed &placed)
+ModelCall::AttemptResult ModelCall::attempt(const Placed &placed)
 {
     m_attemptAt = m_traffic.now();
     ++m_attempts;
     if (m_isCallerGone)
         return {AttemptEnd::Abandoned,
                 AttemptOutcome::NothingSent,
-                {ErrorId::Cancelled, "the caller has gone"},
+                {ErrorId::Cancelled, "the caller disconnected"},
                 false};
     EngineCall call(m_traffic.current().m_client, m_assembler);
     EngineAttempt request;
@@ -117,24 +117,24 @@
     request.m_silenceTimeout = silenceTimeout;
     m_call = &call;
     const auto opened = call.open(request);
-    Ended ended = std::holds_alternative<EngineFailure>(opened)
-                          ? endedBy(std::get<EngineFailure>(opened))
-                          : readStream(call);
+    AttemptResult attemptResult = std::holds_alternative<EngineFailure>(opened)
+                                          ? resultOf(std::get<EngineFailure>(opened))
+                                          : readStream(call);
     m_call = nullptr;
-    return ended;
+    return attemptResult;
 }
 
-ModelCall::Ended ModelCall::readStream(EngineCall &call)
+ModelCall::AttemptResult ModelCall::readStream(EngineCall &call)
 {
     for (;;) {
         const auto result = call.read();
         if (const auto *failure = std::get_if<EngineFailure>(&result))
-            return endedBy(*failure);
+            return resultOf(*failure);
         const auto &progress = std::get<EngineProgress>(result);
         if (!writeTokens(progress)) {
             return {AttemptEnd::Abandoned,
                     AttemptOutcome::BrokenAnswer,
-                    {ErrorId::Cancelled, "the caller has gone"},
+                    {ErrorId::Cancelled, "the caller disconnected"},
                     false};
         }
         if (progress.m_isComplete)
@@ -148,23 +148,23 @@
     }
 }
 
-ModelCall::Ended ModelCall::endedBy(const EngineFailure &failure) const
+ModelCall::AttemptResult ModelCall::resultOf(const EngineFailure &failure) const
 {
-    Ended ended;
-    ended.m_error = failure.m_error;
-    ended.m_isPermanent = failure.m_isPermanent;
+    AttemptResult attemptResult;
+    attemptResult.m_error = failure.m_error;
+    attemptResult.m_isPermanent = failure.m_isPermanent;
     if (m_isCallerGone) {
-        ended.m_end = AttemptEnd::Abandoned;
-        return ended;
+        attemptResult.m_end = AttemptEnd::Abandoned;
+        return attemptResult;
     }
-    ended.m_end = failure.m_isRefusedBeforeStart ? AttemptEnd::Refused : AttemptEnd::Failed;
+    attemptResult.m_end = failure.m_isRefusedBeforeStart ? AttemptEnd::Refused : AttemptEnd::Failed;
     if (failure.m_isRefusedBeforeStart)
-        ended.m_outcome = AttemptOutcome::RefusedBeforeStart;
+        attemptResult.m_outcome = AttemptOutcome::RefusedBeforeStart;
     else if (!m_assembler.answer().isEmpty())
-        ended.m_outcome = AttemptOutcome::BrokenAnswer;
+        attemptResult.m_outcome = AttemptOutcome::BrokenAnswer;
     else if (failure.m_phase != SendPhase::NothingSent)
-        ended.m_outcome = AttemptOutcome::SentNoAnswer;
-    return ended;
+        attemptResult.m_outcome = AttemptOutcome::SentNoAnswer;
+    return attemptResult;
 }
 
 bool ModelCall::writeTokens(const EngineProgress &progress)
@@ -186,8 +186,8 @@
     reportProgress(false);
     if (!m_request.isStreamed())
         return !m_isCallerGone;
-    if (!m_hasBegun) {
-        m_hasBegun = true;
+    if (!m_hasStarted) {
+        m_hasStarted = true;
         if (!m_responder.begin(statusOk, streamHeaders(m_context.m_id)))
             return false;
     }
@@ -200,18 +200,18 @@
 void ModelCall::reportProgress(bool isFinal)
 {
     const TimePoint now = m_traffic.now();
-    const std::int64_t fresh = m_assembler.answer().tokens() - m_reportedTokens;
+    const std::int64_t newTokens = m_assembler.answer().tokens() - m_reportedTokens;
     const bool isFirst = m_reportedTokens == 0;
-    if (fresh == 0 || (!isFinal && !isFirst && now - m_reportedAt < reportInterval))
+    if (newTokens == 0 || (!isFinal && !isFirst && now - m_reportedAt < reportInterval))
         return;
-    m_reportedTokens += fresh;
+    m_reportedTokens += newTokens;
     m_reportedAt = now;
-    m_traffic.postToControl(
-            [id = m_context.m_id, service = m_context.m_service, fresh, isFirst](Control &control) {
-                if (isFirst)
-                    control.admission().firstToken(service, id);
-                control.admission().tokens(service, id, static_cast<std::uint32_t>(fresh));
-            });
+    m_traffic.postToControl([id = m_context.m_id, service = m_context.m_service, newTokens,
+                             isFirst](Control &control) {
+        if (isFirst)
+            control.admission().firstToken(service, id);
+        control.admission().tokens(service, id, static_cast<std::uint32_t>(newTokens));
+    });
 }
 
 void ModelCall::reportCompleted()
@@ -229,23 +229,25 @@
     });
 }
 
-RetryDecision ModelCall::settle(const Ended &ended)
+RetryDecision ModelCall::reportFailed(const AttemptResult &attemptResult)
 {
     reportProgress(true);
     AttemptState state;
-    state.m_outcome = ended.m_outcome;
+    state.m_outcome = attemptResult.m_outcome;
     state.m_info = m_info;
     state.m_startedAt = m_attemptAt;
     state.m_deadline = m_context.m_deadline;
-    const bool wantsRetry = !ended.m_isPermanent && ended.m_end != AttemptEnd::Abandoned;
+    const bool wantsRetry =
+            !attemptResult.m_isPermanent && attemptResult.m_end != AttemptEnd::Abandoned;
     const bool isFirst = m_attempts == 1;
     return m_traffic.callControl([&](Control &control) -> RetryDecision {
         AdmissionDriver &admission = control.admission();
         const ServiceId &service = m_context.m_service;
         if (isFirst)
             admission.onFirstAttempt(service);
-        // A request at fault itself says nothing against its upstream.
-        const AttemptEnd end = ended.m_isPermanent ? AttemptEnd::Abandoned : ended.m_end;
+        // An invalid request shows nothing about its upstream.
+        const AttemptEnd end =
+                attemptResult.m_isPermanent ? AttemptEnd::Abandoned : attemptResult.m_end;
         admission.finishAttempt(service, m_context.m_id, end);
         if (!wantsRetry)
             return NoRetry{};
@@ -254,7 +256,8 @@
         control.context().m_metrics.add(isRetried ? Counter::Retries : Counter::RetriesDenied);
         control.context().m_journal.record(control.context().wallNow(), m_context.m_id,
                                            isRetried ? Decision::Retried : Decision::Failed,
-                                           DecisionReason::UpstreamFailed, ended.m_error.m_text);
+                                           DecisionReason::UpstreamFailed,
+                                           attemptResult.m_error.m_text);
         return decision;
     });
 }
@@ -298,13 +301,14 @@
     });
     if (m_isCallerGone)
         return;
-    if (!m_hasBegun) {
+    if (!m_hasStarted) {
         HttpReply reply = errorReply(error, retryAfter);
         reply.m_headers.add("X-Request-Id", m_context.m_id.text());
         m_responder.send(reply);
         return;
     }
-    // The stream has begun: the error is named, and the missing end shows that it is cut.
+    // The stream has started: sends the error as an event; the missing end marker shows that the
+    // answer is incomplete.
     m_buffer.clear();
     appendNamedEvent(m_buffer, "error", errorBody(error));
     m_responder.write(m_buffer);
--- a/src/kernel/peer_link.cpp
+++ b/src/kernel/peer_link.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t maxFrameBytes = std::size_t{4} * 1024 * 1024;
-/// How far the clocks of two VMs may be apart for a proof to count.
-constexpr std::int64_t proofSkewMillis = 60'000;
+/// Maximum difference between the clocks of two VMs at which a proof is valid.
+constexpr std::int64_t maxClockSkewMillis = 60'000;
 
 wire::PeerReplyBody refusal(const Error &error)
 {
@@ -46,7 +46,7 @@
 std::string PeerLink::answer(const PeerHandler &handler, const std::string &frame)
 {
     const auto request = wire::decodeRequest(frame);
-    // An empty answer closes the connection: bytes that are no message deserve no other one.
+    // An empty reply closes the connection, which is the only reaction to an invalid message.
     if (!succeeded(request)) {
         ++m_refusedFrames;
         return {};
@@ -54,11 +54,12 @@
     wire::PeerReply reply;
     reply.sender = m_self.text();
     reply.incarnation = m_incarnation;
-    const bool isProved =
-            wire::isProofGood(m_credential, valueOf(request), m_clock.wallNow(), proofSkewMillis);
+    const bool isProved = wire::isProofGood(m_credential, valueOf(request), m_clock.wallNow(),
+                                            maxClockSkewMillis);
     m_refusedFrames += isProved ? 0 : 1;
     reply.body = isProved ? handler(NodeId(valueOf(request).sender), valueOf(request))
-                          : refusal({ErrorId::PeerRefused, "the peers' credential was not proved"});
+                          : refusal({ErrorId::PeerRefused,
+                                     "the request has no valid proof of the peers' credential"});
     return wire::encodeReply(reply);
 }
 
--- a/src/kernel/plain_call.cpp
+++ b/src/kernel/plain_call.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr Duration keyRetryAfter = std::chrono::seconds(1);
-/// A repeatable request to a silent upstream is tried elsewhere after this long.
-constexpr Duration repeatableSilence = std::chrono::seconds(5);
+/// Time after which a repeatable request to a silent upstream is retried elsewhere.
+constexpr Duration maxRepeatableSilence = std::chrono::seconds(5);
 
 AttemptOutcome attemptOutcomeOf(CallPhase phase)
 {
@@ -42,12 +42,13 @@
     }
 }
 
-/// Headers that belong to one connection or to this system, and are not passed on.
-bool isPassedOn(std::string_view name)
+/// Returns whether a header is forwarded. Headers that belong to one connection or to this system
+/// are not.
+bool isForwarded(std::string_view name)
 {
-    constexpr std::string_view kept[] = {"Content-Type", "Accept", "Accept-Language",
-                                         "X-Business-Key"};
-    return std::ranges::any_of(kept, [&](std::string_view entry) {
+    constexpr std::string_view forwarded[] = {"Content-Type", "Accept", "Accept-Language",
+                                              "X-Business-Key"};
+    return std::ranges::any_of(forwarded, [&](std::string_view entry) {
         return std::ranges::equal(entry, name, [](unsigned char left, unsigned char right) {
             return std::tolower(left) == std::tolower(right);
         });
@@ -85,7 +86,7 @@
 void PlainCall::run()
 {
     const std::string key(m_request.m_headers.value("Idempotency-Key"));
-    if (isOnce() && !key.empty())
+    if (isAtMostOnce() && !key.empty())
         runClaimed(key);
     else
         runAttempts(std::nullopt);
@@ -119,13 +120,13 @@
     };
     const auto unknown = [this](const InProgressOrUnknown &) {
         const Error error{ErrorId::OutcomeUnknown,
-                          "an earlier request with this key is under way, or may have run"};
+                          "an earlier request with this key is in progress, or may have run"};
         count(Outcome::Unknown, error);
         m_responder.send(errorReply(error, Outcome::Unknown, keyRetryAfter));
     };
     const auto reused = [this](const KeyReused &) {
         const Error error{ErrorId::KeyReusedWithOtherBody,
-                          "this idempotency key came with another request before"};
+                          "this idempotency key was used with a different request"};
         count(Outcome::NotRun, error);
         m_responder.send(errorReply(error, Outcome::NotRun));
     };
@@ -141,39 +142,40 @@
 
 void PlainCall::runAttempts(const std::optional<AttemptId> &claimed)
 {
-    Ended ended;
-    ended.m_error = {ErrorId::Internal, "not begun"};
+    AttemptResult attemptResult;
+    attemptResult.m_error = {ErrorId::Internal, "not started"};
     for (;;) {
         const Placement placement = m_traffic.callControl([this](Control &control) {
             return control.admission().place(m_context.m_service, m_waiting);
         });
         if (const auto *notPlaced = std::get_if<NotPlaced>(&placement)) {
-            ended.m_error = notPlaced->m_error;
-            conclude(claimed, ended, notPlaced->m_retryAfter);
+            attemptResult.m_error = notPlaced->m_error;
+            finishCall(claimed, attemptResult, notPlaced->m_retryAfter);
             return;
         }
         const bool isFirst = m_attempts == 0;
-        // Right before the first byte: a holder that was paused past its deadline must not send.
+        // Checked right before the first byte, as a holder that was paused past its deadline must
+        // not send.
         const bool mayStart = !claimed || !isFirst || m_traffic.callControl([&](Control &control) {
             return control.claims().startAttempt(*claimed);
         });
         if (!mayStart) {
-            ended.m_error = {ErrorId::DeadlineUnreachable,
-                             "the deadline passed before it was sent"};
-            settle(ended);
-            conclude(claimed, ended, keyRetryAfter);
+            attemptResult.m_error = {ErrorId::DeadlineUnreachable,
+                                     "the deadline passed before the request was sent"};
+            reportFailed(attemptResult);
+            finishCall(claimed, attemptResult, keyRetryAfter);
             return;
         }
-        ended = attempt(std::get<Placed>(placement));
-        if (ended.m_phase == CallPhase::Answered) {
+        attemptResult = attempt(std::get<Placed>(placement));
+        if (attemptResult.m_phase == CallPhase::Answered) {
             reportAnswered();
-            conclude(claimed, ended, keyRetryAfter);
+            finishCall(claimed, attemptResult, keyRetryAfter);
             return;
         }
-        const RetryDecision decision = settle(ended);
+        const RetryDecision decision = reportFailed(attemptResult);
         const auto *retry = std::get_if<Retry>(&decision);
         if (!retry) {
-            conclude(claimed, ended, keyRetryAfter);
+            finishCall(claimed, attemptResult, keyRetryAfter);
             return;
         }
         m_info = retry->m_next;
@@ -182,7 +184,7 @@
     }
 }
 
-PlainCall::Ended PlainCall::attempt(const Placed &placed)
+PlainCall::AttemptResult PlainCall::attempt(const Placed &placed)
 {
     ++m_attempts;
     m_attemptAt = m_traffic.now();
@@ -192,7 +194,7 @@
     call.m_method = m_request.m_method;
     call.m_target = m_target;
     for (const auto &[name, value] : m_request.m_headers.fields()) {
-        if (isPassedOn(name))
+        if (isForwarded(name))
             call.m_headers.add(name, value);
     }
     call.m_headers.add("X-Attempt-Id", m_attemptName);
@@ -200,46 +202,49 @@
     call.m_body = m_request.m_body;
     const Duration left =
             std::max<Duration>(m_context.m_deadline - m_attemptAt, std::chrono::milliseconds(1));
-    const Duration silence = isOnce() ? left : std::min(left, repeatableSilence);
+    const Duration silence = isAtMostOnce() ? left : std::min(left, maxRepeatableSilence);
     call.m_headerTimeout = silence;
     call.m_silenceTimeout = silence;
-    // A pooled connection may have gone silent while it idled; what is written to it may be read
-    // later, or never. Only on a new one does a failed connect prove that nothing ran.
-    call.m_freshConnection = isOnce();
+    // A pooled connection may have died while idle, and what is written to it may be read later or
+    // never. Only with a new connection does a failed connect prove that nothing ran.
+    call.m_freshConnection = isAtMostOnce();
     auto result = m_traffic.current().m_client.call(call);
     if (const auto *failure = std::get_if<CallFailure>(&result)) {
-        Ended ended;
-        ended.m_phase = failure->m_phase == SendPhase::NothingSent ? CallPhase::NothingSent
-                                                                   : CallPhase::MayHaveBeenRead;
-        ended.m_error = failure->m_error;
-        return ended;
+        AttemptResult attemptResult;
+        attemptResult.m_phase = failure->m_phase == SendPhase::NothingSent
+                                        ? CallPhase::NothingSent
+                                        : CallPhase::MayHaveBeenRead;
+        attemptResult.m_error = failure->m_error;
+        return attemptResult;
     }
-    return endedBy(std::get<HttpReply>(result));
+    return resultOf(std::get<HttpReply>(result));
 }
 
-bool PlainCall::isCrossed(const HttpReply &reply) const
+bool PlainCall::isForOtherRequest(const HttpReply &reply) const
 {
     const auto attempt = reply.m_headers.find("X-Attempt-Id");
     return attempt && *attempt != m_attemptName;
 }
 
-PlainCall::Ended PlainCall::endedBy(const HttpReply &reply) const
+PlainCall::AttemptResult PlainCall::resultOf(const HttpReply &reply) const
 {
-    Ended ended;
-    ended.m_reply = reply;
-    if (isCrossed(reply)) {
-        // The answer to another request, late or crossed: it must not reach this caller, and says
-        // nothing about whether this request ran.
-        ended.m_phase = CallPhase::MayHaveBeenRead;
-        ended.m_error = {ErrorId::UpstreamFailed, "the upstream answered another request"};
-        return ended;
+    AttemptResult attemptResult;
+    attemptResult.m_reply = reply;
+    if (isForOtherRequest(reply)) {
+        // A late or misdirected answer to another request must not reach this caller, and doesn't
+        // show whether this request ran.
+        attemptResult.m_phase = CallPhase::MayHaveBeenRead;
+        attemptResult.m_error = {ErrorId::UpstreamFailed,
+                                 "the upstream's answer belongs to another request"};
+        return attemptResult;
     }
     const bool isRefused =
             reply.m_status == statusUnavailable && reply.m_headers.value("X-Not-Run") == "1";
-    ended.m_phase = isRefused ? CallPhase::RefusedBeforeStart : CallPhase::Answered;
+    attemptResult.m_phase = isRefused ? CallPhase::RefusedBeforeStart : CallPhase::Answered;
     if (isRefused)
-        ended.m_error = {ErrorId::UpstreamRefused, "the service refused it before it started"};
-    return ended;
+        attemptResult.m_error = {ErrorId::UpstreamRefused,
+                                 "the service refused the request before starting it"};
+    return attemptResult;
 }
 
 void PlainCall::reportAnswered()
@@ -252,10 +257,10 @@
     });
 }
 
-RetryDecision PlainCall::settle(const Ended &ended)
+RetryDecision PlainCall::reportFailed(const AttemptResult &attemptResult)
 {
     AttemptState state;
-    state.m_outcome = attemptOutcomeOf(ended.m_phase);
+    state.m_outcome = attemptOutcomeOf(attemptResult.m_phase);
     state.m_info = m_info;
     state.m_startedAt = m_attemptAt;
     state.m_deadline = m_context.m_deadline;
@@ -264,7 +269,8 @@
         AdmissionDriver &admission = control.admission();
         if (isFirst)
             admission.onFirstAttempt(m_context.m_service);
-        admission.finishAttempt(m_context.m_service, m_context.m_id, attemptEndOf(ended.m_phase));
+        admission.finishAttempt(m_context.m_service, m_context.m_id,
+                                attemptEndOf(attemptResult.m_phase));
         if (m_attempts == 0)
             return NoRetry{};
         const RetryDecision decision = admission.decideRetry(m_context.m_service, state, m_retry);
@@ -274,32 +280,32 @@
     });
 }
 
-void PlainCall::conclude(const std::optional<AttemptId> &claimed, const Ended &ended,
-                         Duration retryAfter)
+void PlainCall::finishCall(const std::optional<AttemptId> &claimed,
+                           const AttemptResult &attemptResult, Duration retryAfter)
 {
-    const Outcome outcome = outcomeOf(ended.m_phase);
+    const Outcome outcome = outcomeOf(attemptResult.m_phase);
     if (claimed) {
         StoredAnswer stored;
-        stored.m_status = ended.m_reply.m_status;
-        stored.m_contentType = ended.m_reply.m_headers.value("Content-Type");
-        stored.m_body = ended.m_reply.m_body;
+        stored.m_status = attemptResult.m_reply.m_status;
+        stored.m_contentType = attemptResult.m_reply.m_headers.value("Content-Type");
+        stored.m_body = attemptResult.m_reply.m_body;
         m_traffic.postToControl([attempt = *claimed, outcome, stored](Control &control) {
             control.claims().finish(attempt, outcome, stored);
         });
     }
     if (outcome == Outcome::Done) {
-        answer(ended.m_reply, outcome);
+        answer(attemptResult.m_reply, outcome);
         return;
     }
     if (outcome == Outcome::NotRun) {
-        count(outcome, ended.m_error);
-        m_responder.send(errorReply(ended.m_error, outcome, retryAfter));
+        count(outcome, attemptResult.m_error);
+        m_responder.send(errorReply(attemptResult.m_error, outcome, retryAfter));
         return;
     }
-    const bool isRepeatable = !isOnce();
-    const Error error = isRepeatable ? ended.m_error
+    const bool isRepeatable = !isAtMostOnce();
+    const Error error = isRepeatable ? attemptResult.m_error
                                      : Error{ErrorId::OutcomeUnknown,
-                                             "no answer came: the request may have run"};
+                                             "no answer was received: the request may have run"};
     count(outcome, error);
     m_responder.send(errorReply(error, outcome));
 }
--- a/src/kernel/platform_client.cpp
+++ b/src/kernel/platform_client.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// What a watch may take beyond the time it was asked to wait.
-constexpr Duration watchGrace = std::chrono::seconds(2);
+/// Additional time that a watch may take beyond its timeout.
+constexpr Duration watchMargin = std::chrono::seconds(2);
 
 std::string encoded(std::string_view text)
 {
-    // '/' stays: it separates the parts of a name.
+    // Keeps '/', which separates the parts of a name.
     return boost::urls::encode(text, boost::urls::pchars + '/');
 }
 
@@ -58,7 +58,7 @@
                 {ErrorId::PlatformRefused, text},
                 retryAfterOf(reply)};
     default:
-        // A 5xx says nothing about whether a write took effect.
+        // A 5xx doesn't show whether a write took effect.
         return {PlatformFailureKind::AnswerLost,
                 {ErrorId::PlatformUnreachable, text},
                 retryAfterOf(reply)};
@@ -81,7 +81,7 @@
 {
     return {PlatformFailureKind::AnswerLost,
             {ErrorId::PlatformUnreachable,
-             "the platform's answer is not what docs/PLATFORM.md says"},
+             "the platform's answer doesn't conform to docs/PLATFORM.md"},
             {}};
 }
 
@@ -97,7 +97,7 @@
 
 PlatformResult<PlatformObjects> objectsFrom(const std::string &body, const char *listName)
 {
-    // Exceptions of the JSON library end here.
+    // Converts exceptions of the JSON library into an error.
     try {
         const nlohmann::json document = nlohmann::json::parse(body);
         PlatformObjects result;
@@ -177,7 +177,7 @@
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(patience).count();
     HttpCall call =
             makeCall("GET", fmt::format("/v1/watch/{}?after={}&timeoutMs={}", kind, after, millis));
-    call.m_headerTimeout = patience + watchGrace;
+    call.m_headerTimeout = patience + watchMargin;
     const auto result = send(call);
     if (const auto *failure = std::get_if<PlatformFailure>(&result))
         return *failure;
@@ -203,9 +203,9 @@
 {
     auto result = m_client.call(call);
     if (const auto *failure = std::get_if<CallFailure>(&result)) {
-        // Failure guarded against: a pooled connection that something between the two ends has
-        // forgotten stays silent while new ones work. It shows as a timeout; without this the next
-        // call would take its sibling from the pool and wait as long again.
+        // A pooled connection that a device between the two ends has dropped stays silent, while
+        // new connections work. It shows as a timeout. Without this, the next call would take
+        // another such connection from the pool and wait as long again.
         m_client.forget(m_endpoint);
         ++m_calls.m_failures;
         m_isUp = false;
