--- a/tests/src/fuzz-admission.cpp
+++ b/tests/src/fuzz-admission.cpp
@@ -48,7 +48,7 @@
 
 enum class Stage { Waiting, Running, Over };
 
-/// What must be true of a request, kept apart from the controllers.
+/// Expected state of a request, tracked independently of the controllers.
 struct Known
 {
     std::uint32_t m_node = 0;
@@ -212,7 +212,7 @@
             const RequestId &id = dispatch != nullptr ? dispatch->m_request.m_id
                                                       : std::get<Refuse>(command).m_request;
             Known &known = m_known.at(id);
-            // Neither dispatched and refused, nor twice, nor by another node.
+            // A request is dispatched or refused at most once, and only by its own node.
             RC_ASSERT(known.m_stage == Stage::Waiting);
             RC_ASSERT(known.m_node == node);
             known.m_stage = dispatch != nullptr ? Stage::Running : Stage::Over;
@@ -237,7 +237,7 @@
                 if (known.m_node != at)
                     continue;
                 waiting += known.m_stage == Stage::Waiting ? 1U : 0U;
-                // Given up at once: nothing waits whose time is over.
+                // Expired requests are dropped at once, so no queued request is past its deadline.
                 RC_ASSERT(known.m_stage != Stage::Waiting || known.m_firstTokenDeadline > m_now);
                 if (known.m_stage != Stage::Running)
                     continue;
--- a/tests/src/fuzz-slot-share.cpp
+++ b/tests/src/fuzz-slot-share.cpp
@@ -21,7 +21,7 @@
     return TimePoint(std::chrono::milliseconds(millis));
 }
 
-/// Looks at every change there was.
+/// Reference implementation that checks all changes.
 std::uint32_t leastOf(const Changes &changes, TimePoint since)
 {
     if (changes.empty() || changes.front().first > since)
--- a/tests/src/unit-admission.cpp
+++ b/tests/src/unit-admission.cpp
@@ -70,7 +70,7 @@
     return result;
 }
 
-/// Submits so many requests and returns how many were dispatched.
+/// Submits this number of requests and returns how many were dispatched.
 std::size_t submitMany(AdmissionController &controller, int count, TimePoint now,
                        const MemberId &member = anna)
 {
@@ -128,8 +128,9 @@
 
 TEST_CASE("a leaving upstream gets nothing")
 {
-    // A runner's VM is reclaimed. Its last load report, late on the way, arrives after the notice
-    // and would put it back into use; whatever is sent there is lost seconds later.
+    // An upstream's VM is reclaimed. Its last load report is delayed and arrives after the notice;
+    // it must not put the upstream back into use, as requests sent there would be lost seconds
+    // later.
     AdmissionController controller = makeController();
     UpstreamReport state = makeUpstream("a", 4);
     state.m_isLeaving = true;
@@ -160,7 +161,7 @@
 {
     AdmissionController controller = makeController();
     controller.updateUpstream(makeUpstream("a", 1), start);
-    // A backlog that is served at one request, 200 tokens, in 100 ms.
+    // A backlog that is served at a rate of one request, 200 tokens, per 100 ms.
     submitMany(controller, 31, start);
     TimePoint now = start;
     for (int at = 0; at < 10; ++at) {
@@ -200,8 +201,8 @@
 
 TEST_CASE("headroom is kept for members that have less than their share")
 {
-    // Anna's rush holds every slot with long drafts. Bruno's one call finds none free and waits
-    // until a draft ends, although he used nothing of his share.
+    // Anna's burst fills every slot with long drafts. Without headroom, Bruno's one call finds no
+    // free slot and waits until a draft ends, although he used none of his share.
     AdmissionSettings settings;
     settings.m_headroom = 0.25;
     AdmissionController controller = makeController(settings);
@@ -214,8 +215,8 @@
 
 TEST_CASE("headroom doesn't keep a member from catching up")
 {
-    // Anna's people reach all entry VMs, Bruno's only this one. Here he has half the slots already
-    // and is held back to them, so that he never gets his half of the data centre.
+    // Anna's requests reach all entry VMs, Bruno's only this one. He already has half of the slots
+    // here; if he were limited to them, he would never get his half of the data centre.
     AdmissionSettings settings;
     settings.m_headroom = 0.25;
     AdmissionController controller = makeController(settings);
--- a/tests/src/unit-chunk-writer.cpp
+++ b/tests/src/unit-chunk-writer.cpp
@@ -41,8 +41,9 @@
     CHECK(event["choices"][0]["finish_reason"].is_null());
 }
 
-// A caller would get an event that its JSON reader refuses, and lose the stream with it: an engine
-// cuts a character of several bytes between two tokens, and each half is no UTF-8 by itself.
+// An engine may split a multi-byte character between two tokens, each half of which is invalid
+// UTF-8. Sent unchanged, the event is rejected by the caller's JSON parser, and the caller loses
+// the stream.
 TEST_CASE("Bytes that are no UTF-8 are replaced", "[chunk-writer]")
 {
     CHECK(eventOf(" M\xc3")["choices"][0]["delta"]["content"] == " M\xef\xbf\xbd");
--- a/tests/src/unit-circuit-breaker.cpp
+++ b/tests/src/unit-circuit-breaker.cpp
@@ -11,12 +11,12 @@
 
 const TimePoint start{1h};
 
-/// Loops of one VM that poll a dependency, each on its own.
+/// Loops of one VM that each poll the same dependency.
 struct Pollers
 {
     static constexpr std::array<Duration, 4> everyLoop{150ms, 150ms, 400ms, 700ms};
 
-    /// Lets them poll until a time has passed. Returns how many calls went out.
+    /// Polls for the given time; returns the number of calls made.
     int poll(Duration time, bool isAnswered)
     {
         int calls = 0;
--- a/tests/src/unit-fair-queue.cpp
+++ b/tests/src/unit-fair-queue.cpp
@@ -33,7 +33,7 @@
                 start);
 }
 
-/// Takes requests out and returns how many were the member's.
+/// Takes requests from the queue and returns how many were the member's.
 int takeOf(FairQueue &queue, const MemberId &member, int count)
 {
     int own = 0;
@@ -57,8 +57,8 @@
 
     SECTION("a rush of one leaves the other its half")
     {
-        // A buyer of Bruno's waits behind a hundred requests that Anna's people sent at once,
-        // although Bruno asked for little: first come, first served would do that.
+        // With first come, first served, Bruno's one small request would wait behind a hundred
+        // requests that Anna sent at once.
         fill(queue, anna, 100);
         fill(queue, bruno, 10);
         CHECK(takeOf(queue, bruno, 10) == 5);
@@ -104,8 +104,8 @@
 
 TEST_CASE("a member that was away has no unbounded credit")
 {
-    // Bruno sends nothing all morning while Anna works. When he comes back he would have the whole
-    // fleet until he caught up with her morning, if his old count stood.
+    // Bruno is idle while Anna works for hours. If his old count were kept, he would get all slots
+    // after his return until he has caught up with her.
     FairQueueSettings settings = exact();
 
     SECTION("by what this node served")
--- a/tests/src/unit-retry.cpp
+++ b/tests/src/unit-retry.cpp
@@ -42,8 +42,8 @@
 
     SECTION("one that must not repeat only where it can't have run")
     {
-        // A reservation is written to a connection that has gone silent. Sent a second time, the
-        // screws are booked twice, since the first may have arrived after all.
+        // A reservation is written to a connection that is silent. The first copy may have arrived,
+        // so a retry could book twice.
         once.m_canResume = true;
         CHECK_FALSE(decide(AttemptOutcome::NothingSent, once));
         CHECK_FALSE(decide(AttemptOutcome::RefusedBeforeStart, once));
@@ -133,8 +133,8 @@
 
 TEST_CASE("attempts don't multiply along the path")
 {
-    // Three layers that each try three times turn one failure into twenty-seven requests, just when
-    // the service below is least able to take them.
+    // Three layers with three attempts each would turn one failure into 27 requests, at a time when
+    // the service is least able to serve them.
     RetryProfile profile;
     CHECK(firstAttemptInfo(profile, std::nullopt).m_attemptsLeft == 2);
     const AttemptInfo below =
--- a/tests/src/unit-routing.cpp
+++ b/tests/src/unit-routing.cpp
@@ -92,8 +92,8 @@
 
 TEST_CASE("power of two doesn't herd")
 {
-    // Ten requests arrive between two load reports, and all of them go to the runner that was idle
-    // in the last one; its callers wait while the other runners finish.
+    // Ten requests arrive between two load reports. If all of them go to the upstream that was idle
+    // in the last report, their callers wait while the other upstreams become idle.
     pcg32 random(7);
     std::vector<Candidate> candidates{makeCandidate("idle")};
     for (int at = 0; at < 9; ++at)
