--- a/include/gypsumdale/policy/slot_share.hpp
+++ b/include/gypsumdale/policy/slot_share.hpp
@@ -31,7 +31,7 @@
     /// Sum over the peers of their last reported requests in flight, or their reserve if that is
     /// more; see peerCharge().
     std::uint32_t m_peers = 0;
-    /// Minimum of m_own within the window, which every peer has been told of.
+    /// Minimum of m_own within the window, which was reported to every peer.
     std::uint32_t m_ownMinimum = 0;
 };
 
