--- a/include/gypsumdale/kernel/job_call.hpp
+++ b/include/gypsumdale/kernel/job_call.hpp
@@ -12,28 +12,28 @@
 
 namespace gypsumdale {
 
-/// Serves a caller of one durable job: the one who asked for it, or one who comes back for it.
-/// Lives in one fiber of a traffic loop; the job itself does not depend on it.
+/// Serves one caller of a durable job: the one that requested it, or one that reattaches. Used in
+/// one fiber of a traffic loop; the job itself doesn't depend on it.
 class JobCall
 {
 public:
     JobCall(Traffic &traffic, HttpResponder &responder);
 
-    /// Offers a job and, once it is accepted, streams its answer. A job that is not accepted is
-    /// answered with the error, and does not go on.
+    /// Offers a job and streams its answer once the job is accepted. A job that isn't accepted is
+    /// answered with the error and not continued.
     void runNew(const RequestContext &context, const ChatRequest &request, const std::string &body);
 
-    /// Goes on with a job's answer at a position, here or at the node that has the job.
+    /// Continues a job's answer from a position, here or at the node that has the job.
     void runReattached(const MemberId &member, const JobId &job, AnswerPosition position,
                        const HttpRequest &original);
 
 private:
     bool awaitAcceptance(JobFeed &feed);
     void follow(JobFeed &feed);
-    bool take(const FeedTokens &tokens);
-    void serve(const ServeFrom &answer, const std::shared_ptr<JobFeed> &feed);
-    void finishWhole(std::string_view finishReason, Finality finality);
-    void fetchEnd();
+    bool processTokens(const FeedTokens &tokens);
+    void sendStored(const ServeFrom &answer, const std::shared_ptr<JobFeed> &feed);
+    void sendEnd(std::string_view finishReason, Finality finality);
+    void sendRemainder();
     void sendReattachHint();
     void proxy(const wire::JobLocated &located, const HttpRequest &original);
     bool begin();
@@ -46,14 +46,14 @@
     std::optional<ChunkWriter> m_writer;
     std::string m_buffer;
     AnswerPosition m_position;
-    /// For a caller that wants the answer in one piece.
+    /// Answer so far, for a caller that requested it in one piece.
     std::optional<AnswerText> m_collected;
     std::uint32_t m_promptTokens = 0;
     RequestSeries *m_series = nullptr;
     TimePoint m_arrivedAt{};
     TimePoint m_lastTokenAt{};
-    std::vector<FeedTokens> m_early;
-    bool m_hasBegun = false;
+    std::vector<FeedTokens> m_earlyTokens;
+    bool m_hasStarted = false;
 };
 
 } // namespace gypsumdale
--- a/include/gypsumdale/kernel/plain_call.hpp
+++ b/include/gypsumdale/kernel/plain_call.hpp
@@ -11,37 +11,38 @@
 
 namespace gypsumdale {
 
-/// Serves one request to a plain service: at most once where the profile says so, with a claim in
-/// the platform where the caller gave an idempotency key. Lives in one fiber of a traffic loop.
+/// Serves one request to a plain service: at most once if the profile requires it, with a claim in
+/// the platform if the caller sent an idempotency key. Used in one fiber of a traffic loop.
 class PlainCall
 {
 public:
     PlainCall(Traffic &traffic, RequestContext context, const HttpRequest &request,
               std::string target, HttpResponder &responder);
 
-    /// Answers the request. The answer's X-Outcome says whether it ran.
+    /// Answers the request. The header X-Outcome of the answer says whether the request ran.
     void run();
 
 private:
-    struct Ended
+    struct AttemptResult
     {
         CallPhase m_phase = CallPhase::NothingSent;
         HttpReply m_reply;
         Error m_error;
     };
 
-    bool isOnce() const { return m_context.m_profile->m_repeatSafety == RepeatSafety::Once; }
+    bool isAtMostOnce() const { return m_context.m_profile->m_repeatSafety == RepeatSafety::Once; }
     void runClaimed(const std::string &key);
     void runAttempts(const std::optional<AttemptId> &claimed);
-    Ended attempt(const Placed &placed);
-    Ended endedBy(const HttpReply &reply) const;
-    bool isCrossed(const HttpReply &reply) const;
-    /// Reports an answer. Nothing is asked, so the caller does not wait for it; what the caller
-    /// sends next is decided after it, as the control loop keeps the order.
+    AttemptResult attempt(const Placed &placed);
+    AttemptResult resultOf(const HttpReply &reply) const;
+    bool isForOtherRequest(const HttpReply &reply) const;
+    /// Reports an answer. Returns without waiting, so that the caller isn't delayed; the control
+    /// loop keeps the order, so the caller's next request is decided after the report.
     void reportAnswered();
-    /// Reports an attempt without an answer and asks whether there will be another.
-    RetryDecision settle(const Ended &ended);
-    void conclude(const std::optional<AttemptId> &claimed, const Ended &ended, Duration retryAfter);
+    /// Reports an attempt without an answer and returns whether there is another one.
+    RetryDecision reportFailed(const AttemptResult &attemptResult);
+    void finishCall(const std::optional<AttemptId> &claimed, const AttemptResult &attemptResult,
+                    Duration retryAfter);
     void answer(const HttpReply &reply, Outcome outcome);
     void answerClaimed(const ClaimResult &result);
     void count(Outcome outcome, const Error &error);
