--- a/tests/support/agenda.hpp
+++ b/tests/support/agenda.hpp
@@ -11,7 +11,7 @@
 
 namespace gypsumdale::testing {
 
-/// What is done at a later time. The time stands still while it is done.
+/// Queue of actions to run at later times. The clock stands still while an action runs.
 class Agenda
 {
 public:
@@ -50,7 +50,7 @@
 
     TimePoint m_now{std::chrono::hours(1)};
     std::uint64_t m_added = 0;
-    /// A heap with the next one first.
+    /// Heap with the earliest entry first.
     std::vector<Entry> m_entries;
 };
 
--- a/tests/support/answer_stream.hpp
+++ b/tests/support/answer_stream.hpp
@@ -10,8 +10,8 @@
 
 namespace gypsumdale::testing {
 
-/// What a caller has of one streamed answer, over all connections on which it read it. Written on
-/// the loop, read by the test's thread.
+/// What a caller has received of one streamed answer, over all connections on which it read it.
+/// Written on the loop, read by the test's thread.
 class AnswerStream
 {
     template <typename Work>
@@ -38,22 +38,23 @@
     {
         return locked([&] { return m_status; });
     }
-    /// The body of an answer that is no stream, the last error's event, or why the call failed.
+    /// Returns the body of an answer that is no stream, the last error event, or why the call
+    /// failed.
     std::string note() const
     {
         return locked([&] { return m_note; });
     }
-    /// Tells whether the connection is over, however it ended.
+    /// Returns whether the connection has ended, however it ended.
     bool isEnded() const
     {
         return locked([&] { return m_isEnded; });
     }
-    /// Tells whether the answer's end marker came and the body ended properly.
+    /// Returns whether the answer's end marker arrived and the body ended properly.
     bool isWhole() const
     {
         return locked([&] { return m_isDone && m_isEnded && !m_isCut; });
     }
-    /// Tells whether the last end that was read says that another answer may follow.
+    /// Returns whether the last end marker that was read says that another answer may follow.
     bool isProvisional() const
     {
         return locked([&] { return m_isProvisional; });
@@ -164,8 +165,7 @@
             m_isProvisional = document.value("provisional", false);
             return;
         }
-        // Appended in the order in which they come: an event that came twice, or not at all,
-        // shows in the text.
+        // Appended in order of arrival, so that a duplicate or missing event shows in the text.
         m_tokens.push_back(document["choices"][0]["delta"]["content"].get<std::string>());
         if (const std::string id = field(event, "id"); !id.empty())
             m_lastId = id;
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -27,9 +27,9 @@
     return text.size() > most ? text.substr(text.size() - most) : text;
 }
 
-/// Returns a port that nobody listens on. It lies below the range from which the system takes the
-/// ports of outgoing connections: one of those could otherwise sit on the port of a node that is
-/// down for a restart.
+/// Returns a port on which nobody listens. It lies below the system's range for the ports of
+/// outgoing connections: one of those could otherwise occupy the port of a node that is down for a
+/// restart.
 inline std::uint16_t freePort()
 {
     constexpr int first = 20000;
@@ -50,7 +50,7 @@
     }
 }
 
-/// A program that this one started, with both outputs in a file. Ended and reaped when it goes.
+/// Child process with stdout and stderr in a file. The destructor ends and reaps it.
 class ChildProcess
 {
 public:
@@ -85,7 +85,8 @@
     ChildProcess(const ChildProcess &) = delete;
     ChildProcess &operator=(const ChildProcess &) = delete;
 
-    /// Does nothing once the process was reaped: its number may be another's by then.
+    /// Sends a signal. Does nothing once the process was reaped, as its id may be another process's
+    /// by then.
     void send(int signal)
     {
         if (!m_status)
@@ -100,7 +101,8 @@
         return m_status.has_value();
     }
 
-    /// The status with which it exited, 128 and the signal if one ended it, or nothing as yet.
+    /// Returns the exit status, 128 plus the signal number if a signal ended it, or nothing while
+    /// it runs.
     std::optional<int> exitStatus() const { return m_status; }
 
 private:
--- a/tests/support/claim_world.hpp
+++ b/tests/support/claim_world.hpp
@@ -13,7 +13,7 @@
 
 namespace gypsumdale::testing {
 
-/// The claims' logs of all shards.
+/// The logs of claims of all shards.
 struct MemoryClaimPlatform
 {
     LogAnswer perform(const ShardCommand &command)
@@ -24,7 +24,7 @@
     std::map<ShardNumber, MemoryLogPlatform> m_logs;
 };
 
-/// One node's ledger, of one life of its process.
+/// One node's ledger, for one lifetime of its process.
 class ClaimNode
 {
 public:
@@ -40,7 +40,7 @@
         return {MemberId(member), key, digestOf(body), std::move(attempt), deadline};
     }
 
-    /// Carries commands out until none is left.
+    /// Carries out commands until none is left.
     void settle(MemoryClaimPlatform &platform, Moment moment)
     {
         while (const auto command = m_ledger.next(moment))
--- a/tests/support/entry_stand_ins.hpp
+++ b/tests/support/entry_stand_ins.hpp
@@ -22,8 +22,8 @@
 
 using Json = nlohmann::json;
 
-/// The users' platform's store, small: objects by kind with conditional updates and watches. It can
-/// be told to answer nobody. All calls are made on the loop's thread.
+/// Small stand-in for the user platform's store: objects by kind with conditional updates and
+/// watches. It can be told to answer nobody. All calls are made on the loop's thread.
 class StoreStandIn
 {
 public:
@@ -32,10 +32,10 @@
         , m_port(openPortFor({}))
     {}
 
-    /// The port for everybody.
+    /// Returns the port that any caller may use.
     std::uint16_t port() const { return m_port; }
 
-    /// Returns a further port, whose callers are all one VM.
+    /// Returns a further port, all of whose callers are the given VM.
     std::uint16_t openPortFor(const std::string &node)
     {
         const std::uint16_t port = freePort();
@@ -50,7 +50,7 @@
         return port;
     }
 
-    /// Returns the revision of the object.
+    /// Writes an object and returns its revision.
     std::int64_t put(const std::string &kind, const std::string &name, const Json &spec)
     {
         return m_loop.call([&] {
@@ -59,14 +59,14 @@
         });
     }
 
-    /// Returns up to which revision a VM has taken in the upstreams: from there it has asked for
-    /// changes.
+    /// Returns the revision up to which a VM has received the upstreams: the one from which it has
+    /// asked for changes.
     std::int64_t upstreamsTakenIn(const std::string &node)
     {
         const std::lock_guard lock(m_mutex);
         return m_takenIn[node];
     }
-    /// Forgets it, for a process that begins.
+    /// Clears the revision that a VM has received, for a process that starts.
     void forgetTakenIn(const std::string &node)
     {
         const std::lock_guard lock(m_mutex);
@@ -81,13 +81,13 @@
         });
     }
 
-    /// Turns callers away from now on, or serves them again.
+    /// Sets whether callers are refused from now on.
     void refuse(bool refuses) { m_refuses = refuses; }
 
-    /// Lets each removal of an object take so long from now on.
+    /// Sets how long each removal of an object takes from now on.
     void delayRemovals(Duration delay) { m_removalDelay = delay; }
 
-    /// Lets each listing of objects take so long from now on.
+    /// Sets how long each listing of objects takes from now on.
     void delayListings(Duration delay) { m_listingDelay = delay; }
 
 private:
@@ -223,8 +223,8 @@
     std::uint16_t m_port;
 };
 
-/// One upstream that signs its answers and echoes the request's id; a test may take its place for
-/// single requests.
+/// Upstream that signs its answers and echoes the request's id. A test may replace its behaviour
+/// for single requests.
 class UpstreamStandIn
 {
 public:
--- a/tests/support/entry_world.hpp
+++ b/tests/support/entry_world.hpp
@@ -25,10 +25,10 @@
 
 namespace gypsumdale::testing {
 
-/// Limits hangs only; no verdict depends on it.
+/// Only limits hangs; no verdict depends on it.
 inline constexpr Duration entryHangGuard = std::chrono::seconds(30);
 
-/// What a caller got; status 0 if the connection ended first.
+/// Answer that a caller received; status 0 if the connection ended first.
 struct EntryAnswer
 {
     int m_status = 0;
@@ -41,8 +41,8 @@
 {
 public:
     /// With proxies, processes reach the store, the upstreams and each other through links that can
-    /// be harmed. Takes after what time a leaving upstream must be left alone; nothing for the
-    /// usual one.
+    /// be disturbed. `leavingApply` is the time after which a leaving upstream must not be used any
+    /// more; nothing selects the default.
     explicit EntryWorld(int nodes = 1, bool hasProxies = false,
                         std::optional<std::chrono::milliseconds> leavingApply = std::nullopt)
         : m_loop("test")
@@ -93,8 +93,8 @@
         std::uint16_t m_peerPort = 0;
         std::uint16_t m_metricsPort = 0;
         std::unique_ptr<ChildProcess> m_process;
-        /// Set where links can be harmed: the one to the store, and the one on which peers reach
-        /// it.
+        /// Set where links can be disturbed: the link to the store, and the one on which peers
+        /// reach this node.
         std::unique_ptr<FaultProxy> m_storeLink;
         std::unique_ptr<FaultProxy> m_peerLink;
     };
@@ -105,7 +105,7 @@
         return *m_upstreamLinks.at(upstream(index).id());
     }
     UpstreamStandIn &upstream(std::size_t index) { return *m_upstreams.at(index); }
-    /// Lets the test take the place of all upstreams.
+    /// Lets the test replace the behaviour of all upstreams.
     void behave(const UpstreamStandIn::Behaviour &behaviour)
     {
         for (const auto &upstream : m_upstreams)
@@ -129,8 +129,9 @@
         return m_store->put("servers", upstream.id(), entry);
     }
 
-    /// Writes a version with four routes: may repeat, at most once, and streams that may not and
-    /// that may be resumed, and so many further ones. The upstreams' runs can be moved.
+    /// Writes a configuration version with four routes: one whose requests may be repeated, one for
+    /// requests that run at most once, and one each for streams that may not and that may be
+    /// resumed; and with `furtherRoutes` more. Running requests can be moved between the upstreams.
     void configure(int version, const std::vector<std::string> &keys, int furtherRoutes = 0)
     {
         const auto route = [](const char *prefix, const char *kind, int attempts, bool resumes) {
@@ -163,7 +164,7 @@
                          {"burst", limitedBurst}}}}});
     }
 
-    /// The key of an account with a quota, and what it is.
+    /// Key of an account with a quota, and that quota.
     static constexpr const char *limitedKey = "limited-key";
     static constexpr int limitedRate = 10;
     static constexpr int limitedBurst = 10;
@@ -181,14 +182,14 @@
         return ask(node, target, id, key, 5000, {}, true);
     }
 
-    /// Sends a request with a body, whose caller waits for so long.
+    /// Sends a request with a body, whose caller waits for `deadlineMillis`.
     EntryAnswer callWith(const EntryNode &node, const std::string &target, const std::string &id,
                          const std::string &body, int deadlineMillis)
     {
         return ask(node, target, id, "key", deadlineMillis, {}, false, body);
     }
 
-    /// Sends a request with a prompt, whose caller waits for so long.
+    /// Sends a request with a prompt, whose caller waits for `deadlineMillis`.
     EntryAnswer askPrompt(const EntryNode &node, const std::string &target, const std::string &id,
                           int promptTokens, int deadlineMillis)
     {
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Returns all that a process has logged, for conditions on lines that may be long past.
+    /// Returns everything that a process has logged, for conditions on lines that may be long past.
     std::string wholeLog(const EntryNode &node) const
     {
         std::ifstream file((m_folder / (node.m_name + ".log")).string());
@@ -339,7 +340,7 @@
     std::filesystem::path m_folder;
     std::unique_ptr<StoreStandIn> m_store;
     std::vector<std::unique_ptr<UpstreamStandIn>> m_upstreams;
-    /// By upstream; empty where links can't be harmed.
+    /// By upstream; empty where links can't be disturbed.
     std::map<std::string, std::unique_ptr<FaultProxy>> m_upstreamLinks;
     std::vector<EntryNode> m_nodes;
 };
--- a/tests/support/fault_proxy.hpp
+++ b/tests/support/fault_proxy.hpp
@@ -25,23 +25,24 @@
 
 namespace gypsumdale::testing {
 
-/// What a proxy does to the bytes that pass it.
+/// What a proxy does to the bytes that pass through it.
 enum class LinkFault {
     None,
-    /// Holds each piece back for a while.
+    /// Delays each piece.
     Delay,
-    /// Holds back all that goes to the target, as a link that is cut one way, until it heals.
+    /// Holds back everything to the target until the link heals: a link that is cut in one
+    /// direction.
     CutToTarget,
-    /// Holds back all that comes from the target.
+    /// Holds back everything from the target.
     CutFromTarget,
     Silence,
-    /// Resets each connection that there is or comes.
+    /// Resets each connection, open or new.
     Reset,
 };
 
-/// Passes connections on to a port on loopback, and harms them when told to. Bytes are never lost
-/// while a connection lives, as TCP sends them again when a link heals; those held back are lost
-/// when their sender resets it.
+/// Forwards connections to a port on loopback and disturbs them on demand. Bytes are never lost
+/// while a connection lives, as TCP resends them when a link heals. Bytes that are held back are
+/// lost when their sender resets the connection.
 class FaultProxy
 {
 public:
@@ -69,8 +70,8 @@
         });
     }
 
-    /// Lets what goes one way pass a narrow link from now on, before it is held up in other ways.
-    /// Nothing for a way that is as wide as loopback.
+    /// Sends the bytes of each direction through a narrow link from now on, before they are delayed
+    /// in other ways. Null for a direction that is as wide as loopback.
     void narrow(NarrowLink *toTarget, NarrowLink *fromTarget)
     {
         boost::asio::post(m_context, [this, toTarget, fromTarget] {
@@ -81,8 +82,8 @@
         });
     }
 
-    /// Resets the connections that there are, with all that is held back on them, and returns when
-    /// that is done.
+    /// Resets the open connections, dropping all that is held back on them, and returns when that
+    /// is done.
     void resetAll()
     {
         std::promise<void> isDone;
@@ -103,7 +104,7 @@
         });
     }
 
-    /// Returns how many connections there are.
+    /// Returns the number of open connections.
     std::size_t openLinks()
     {
         return ask([this] { return m_links.size(); });
@@ -191,8 +192,8 @@
             });
         }
 
-        /// Goes on at once, late, or when the link heals. What is held back is lost if its sender
-        /// resets the connection: it would have to send it again.
+        /// Continues at once, after a delay, or when the link heals. What is held back is lost if
+        /// its sender resets the connection: the sender would have to send it again.
         template <typename Next>
         void passOn(Way &way, Next next)
         {
@@ -206,7 +207,7 @@
             next();
         }
 
-        /// Also while data are unread.
+        /// Returns whether the connection was reset, also while data are unread.
         static bool isReset(Socket &socket)
         {
             int error = 0;
--- a/tests/support/job_trial.hpp
+++ b/tests/support/job_trial.hpp
@@ -13,15 +13,18 @@
 
 namespace gypsumdale::testing {
 
-// What is promised, and held against the table here: a job that its caller was told is accepted
-// ends, whole, in front of every caller that follows the epochs, after any mixture of announced
-// reclaims, outages, pauses, wrong suspicions, lost, doubled and crossed messages and dead runners.
-// Unannounced deaths are covered as well once the log has the job. While it has not, one loss is
-// covered; two losses of nodes since the offer, one of them unannounced (or with its notice too
-// short for a hand-over), are not: a holder may die with its acknowledgement still on the way, and
-// a successor before its own holder has acknowledged. A reclaim counts from its notice on. One
-// whole answer for all callers is promised; each caller's own is always that of one chain of
-// generation.
+// The table is checked against these promises. A job that its caller was told is accepted ends with
+// a complete answer for every caller that follows the epochs, after any mixture of announced
+// reclaims, outages, pauses, wrong suspicions, lost, duplicated and reordered messages and dead
+// runners.
+//
+// Unannounced deaths are covered as well once the log has the job. Before that, one loss is
+// covered. Two losses of nodes since the offer, one of them unannounced (or with a notice too short
+// for a hand-over), are not: a holder may die with its acknowledgement still on the way, and a
+// successor before its own holder has acknowledged. A reclaim counts from its notice on.
+//
+// One complete answer for all callers is promised; what each caller reads is always the answer of
+// one chain of generation.
 
 enum class Act {
     Offer,
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Everything works again; what was promised must now come true.
+    /// Ends all faults; every promise must now be kept.
     void conclude()
     {
         m_world.setPlatform(true);
@@ -252,7 +255,7 @@
     trial.conclude();
 }
 
-/// Holds what is promised against histories of many lengths, as rare meetings of faults need long
+/// Checks the promises against histories of many lengths, as rare combinations of faults need long
 /// ones.
 inline void checkJobs(const rc::Gen<Act> &acts)
 {
--- a/tests/support/job_world.hpp
+++ b/tests/support/job_world.hpp
@@ -14,9 +14,9 @@
 
 namespace gypsumdale::testing {
 
-/// Nodes with a JobTable each, a platform with logs, peers' messages and runners, all under the
-/// test's hand. Every record goes through the codec. Runners never generate the same text twice:
-/// each token names its attempt.
+/// Nodes with a JobTable each, and a platform with logs, peers' messages and runners, all
+/// controlled by the test. Every record goes through the codec. Runners never generate the same
+/// text twice: each token names its attempt.
 class JobWorld
 {
 public:
@@ -45,7 +45,7 @@
         bool m_isPaused = false;
         bool m_isSuspected = false;
         bool m_isLeaving = false;
-        /// Whether this node alone reaches the platform, which may be up or not.
+        /// Whether this node itself can reach the platform, which may be up or not.
         bool m_hasReach = true;
         int m_stepsLeft = 0;
         std::map<JobLogId, Reader> m_readers;
@@ -70,7 +70,7 @@
         bool m_isRefused = false;
         bool m_isTold = false;
         /// Losses of nodes since the offer while the log did not have the job, and how many of them
-        /// were not announced.
+        /// were unannounced.
         int m_losses = 0;
         int m_crashes = 0;
         std::set<std::string> m_wholes;
@@ -83,7 +83,7 @@
         AnswerText m_have{};
         std::int64_t m_epoch = 0;
         bool m_isWhole = false;
-        /// What was read last is an answer in full that the log may still overrule.
+        /// The last read gave a complete answer that the log may still overrule.
         bool m_isProvisional = false;
     };
 
@@ -101,7 +101,7 @@
         settle();
     }
 
-    // What can happen.
+    // Events of a history.
 
     void start(std::size_t index)
     {
@@ -136,7 +136,7 @@
         for (ModelJob &job : m_jobs) {
             if (isLogged(job.m_id))
                 continue;
-            // A notice counted when it was given.
+            // A node with a notice was counted when the notice was given.
             if (!node.m_isLeaving)
                 ++job.m_losses;
             if (!announced)
@@ -184,7 +184,7 @@
         }
     }
 
-    /// One node alone loses the platform, or finds it again.
+    /// Cuts one node off from the platform, or reconnects it.
     void setReach(std::size_t index, bool hasReach)
     {
         Node &node = m_nodes[index];
@@ -208,7 +208,7 @@
         pump(index);
     }
 
-    /// The others take a paused node for dead.
+    /// Makes the others consider a paused node dead.
     void suspect(std::size_t index) { m_nodes[index].m_isSuspected = m_nodes[index].m_isPaused; }
 
     std::optional<std::size_t> offer(std::size_t index, const std::string &member)
@@ -250,7 +250,7 @@
         });
     }
 
-    /// The stream ends early and the runner claims that the answer is whole.
+    /// Ends the streams early while the runner claims that the answer is complete.
     void truncateAttempts(std::size_t index)
     {
         forAttempts(index, [&](const JobId &job, const Attempt &attempt) {
@@ -325,7 +325,7 @@
         }
     }
 
-    /// Time goes on; nothing is delivered or written but by the calls above.
+    /// Advances the time. Only the calls above deliver or write anything.
     void step(Duration step = std::chrono::milliseconds(100))
     {
         m_now += step;
@@ -344,14 +344,14 @@
         }
     }
 
-    /// Some time during which everything that can work does.
+    /// Advances the time for some steps, during which everything that can work does.
     void settle(int steps = 10)
     {
         for (int round = 0; round < steps; ++round) {
             step();
             deliverAll();
             for (std::size_t index = 0; index < m_nodes.size(); ++index) {
-                // What a paused node has on its way lands only when the test says so.
+                // What a paused node has on its way arrives only when the test says so.
                 if (m_nodes[index].isRunning())
                     flush(index);
                 read(index);
@@ -408,7 +408,8 @@
         return {};
     }
 
-    /// Asks as another member; returns a complaint if that shows more than an unknown job does.
+    /// Asks as another member. Returns a complaint if the answer reveals more than one for an
+    /// unknown job does.
     std::string pry(std::size_t jobIndex, std::size_t entry)
     {
         if (!m_nodes[entry].isRunning())
@@ -422,7 +423,7 @@
         return isShown ? "a stranger was served" : "";
     }
 
-    /// Tells whether the platform has the job.
+    /// Returns whether the platform has the job.
     bool isLogged(const JobId &job) const
     {
         const auto log = m_logs.find(*logOf(job));
@@ -446,7 +447,7 @@
         return m_platformUp && m_nodes[index].m_hasReach;
     }
 
-    /// Counts the owners that would run the job now.
+    /// Returns the number of owners that would run the job now.
     int owners(const JobId &job) const
     {
         int count = 0;
--- a/tests/support/memory_log_platform.hpp
+++ b/tests/support/memory_log_platform.hpp
@@ -12,7 +12,7 @@
 class MemoryLogPlatform
 {
 public:
-    /// Carries a command out and returns the answer.
+    /// Carries out a command and returns the answer.
     LogAnswer perform(const LogCommand &command)
     {
         return std::visit(Overloaded{
--- a/tests/support/narrow_link.hpp
+++ b/tests/support/narrow_link.hpp
@@ -13,8 +13,8 @@
 
 namespace gypsumdale::testing {
 
-/// A link of few bytes a second that several proxies share. What is put into it leaves in that
-/// order, whatever connection it is of. May be used from several threads.
+/// Link with a low byte rate that several proxies share. Bytes leave in the order in which they
+/// were put in, whatever their connection. May be used from several threads.
 class NarrowLink
 {
 public:
@@ -35,15 +35,15 @@
         return m_freeAt;
     }
 
-    /// Returns all that was put into it so far.
+    /// Returns the number of bytes put into the link so far.
     std::uint64_t bytes() const
     {
         const std::lock_guard lock(m_mutex);
         return m_bytes;
     }
 
-    /// Lets a socket of a proxy hold about as much as one of a narrow network does, so that senders
-    /// notice how narrow the link is. Loopback would take whole messages at once. To be called
+    /// Limits the buffers of a proxy's socket to about those of a narrow network, so that senders
+    /// notice how narrow the link is; loopback would accept whole messages at once. To be called
     /// before the socket is connected or listens.
     template <typename Socket>
     static void shape(Socket &socket)
--- a/tests/support/news_plays.hpp
+++ b/tests/support/news_plays.hpp
@@ -10,7 +10,7 @@
 
 namespace gypsumdale::testing {
 
-/// A fleet whose news is played.
+/// Dimensions of a simulated fleet that exchanges updates about upstreams.
 struct NewsFleet
 {
     std::size_t m_vms = 0;
--- a/tests/support/news_vm.hpp
+++ b/tests/support/news_vm.hpp
@@ -14,12 +14,12 @@
 
 namespace gypsumdale::testing {
 
-/// What a play disturbs.
+/// The faults of a simulation.
 struct NewsTroubles
 {
-    /// Answers and messages of slow VMs take up to this.
+    /// Longest time that answers and messages of slow VMs take.
     Duration m_slowest{};
-    /// VMs that are slow, turned away by the store, or killed, one after the other.
+    /// Whether VMs are slow, refused by the store, or killed, one after the other.
     bool m_hasSlow = false;
     bool m_hasTurnedAway = false;
     bool m_hasKilled = false;
@@ -31,14 +31,14 @@
     bool m_isQuiet = false;
 };
 
-/// What a VM has told another one, and whether it waits for the receipt.
+/// What a VM has sent to another one, and whether it waits for the acknowledgement.
 struct ToldNews
 {
     FollowerState m_state;
     bool m_isBusy = false;
 };
 
-/// A VM in a play of the news, with the decisions of its process.
+/// Simulated VM with the decisions of its process.
 struct NewsVm
 {
     NewsVm(const EntryBounds &bounds, std::size_t dataCentre)
@@ -51,10 +51,10 @@
     CircuitBreaker m_breaker;
     UpdatePacing m_pace;
     std::map<NewsVm *, ToldNews> m_told;
-    /// Of the others' clocks, as their receipts brought them.
+    /// Timestamps of the other VMs' clocks, as their acknowledgements brought them.
     std::map<NewsVm *, LastPeerTimestamp> m_marks;
     StoreRole m_role = StoreRole::Follower;
-    /// Counts its processes: what an earlier one began ends with it.
+    /// Number of the current process: what an earlier one began ends with it.
     int m_life = 0;
     bool m_isSlow = false;
     bool m_isTurnedAway = false;
@@ -63,7 +63,7 @@
     TimePoint m_lostAnswerAt{};
 };
 
-/// A call to the store: a watch from a revision, or the list.
+/// Call to the store: a watch from a revision, or a list.
 struct StoreCall
 {
     std::optional<std::int64_t> m_revision;
--- a/tests/support/order_world.hpp
+++ b/tests/support/order_world.hpp
@@ -31,19 +31,19 @@
     int m_life = 0;
     TimePoint m_pausedUntil;
     std::optional<LeaseCommand> m_inFlight;
-    /// An order that was checked and is held up between the check and the engine.
+    /// Order that was checked and is delayed between the check and the engine.
     std::optional<SendOrder> m_heldUp;
     TimePoint m_checkedAt;
 };
 
-/// An order whose process died after it was sent.
+/// Order whose process died after it was sent.
 struct OrderUnderWay
 {
     SendOrder m_order;
     TimePoint m_checkedAt;
 };
 
-/// An engine that refuses old numbers, and one that takes every order.
+/// One engine that refuses superseded fence numbers, and one that accepts every order.
 class OrderedEngines
 {
 public:
@@ -78,11 +78,11 @@
     std::string m_other;
 };
 
-/// How long an order may be held up between its check and the engine.
+/// How long an order may be delayed between its check and the engine.
 enum class HoldUps {
-    /// No longer than the longest pause, which the wait of fenceForUncheckedEngine() rests on.
+    /// At most for the longest pause, on which the wait of fenceForUncheckedEngine() is based.
     Bounded,
-    /// For any time, by pauses in a row.
+    /// For any time, by consecutive pauses.
     Unbounded,
 };
 
@@ -164,7 +164,7 @@
         node.m_reconciler->setDesired(otherEngine, Fencing::Ignored, name);
     }
 
-    /// Lets orders arrive that were held up for the longest pause.
+    /// Delivers orders that were delayed for the longest pause.
     void arriveInTime()
     {
         if (m_holdUps == HoldUps::Unbounded)
@@ -225,7 +225,7 @@
             node.m_reconciler->onRead(read->m_engine, m_engines.state(read->m_engine), m_now);
             return;
         }
-        // The process stops between its check and the order, for less than the longest pause.
+        // The process pauses between its check and the order, for less than the longest pause.
         node.m_heldUp = std::get<SendOrder>(*command);
         node.m_checkedAt = m_now;
         if (value % 3 == 0)
@@ -260,8 +260,8 @@
     std::vector<OrderUnderWay> m_underWay;
 };
 
-/// Plays faults in any order. Returns how many orders reached the engine that ignores numbers, or
-/// nothing if one of an older orderer came behind a newer one.
+/// Simulates faults in any order. Returns how many orders reached the engine that ignores fence
+/// numbers, or nothing if one of an older orderer arrived after one of a newer orderer.
 inline std::optional<std::size_t> playOrders(HoldUps holdUps)
 {
     constexpr std::uint32_t rounds = 40;
--- a/tests/support/peer_lists.hpp
+++ b/tests/support/peer_lists.hpp
@@ -15,20 +15,20 @@
 
 namespace gypsumdale::testing {
 
-/// What a VM says of itself to another one, with its list if that one needs it.
+/// What a VM reports about itself to another one, with its list if that one needs it.
 struct PeerWord
 {
     std::int64_t m_revision = 0;
     bool m_isStale = false;
     std::shared_ptr<const UpstreamList> m_list;
-    /// Of the list.
+    /// Age of the list.
     Duration m_age{};
     ClockMark m_mark;
     std::optional<ClockEcho> m_echo;
 };
 
-/// The lists that VMs send each other in their exchanges: to one that is behind and whom neither
-/// the store nor a reader has told for long.
+/// The lists that VMs send each other in their exchanges: to a VM that is behind and to which
+/// neither the store nor a reader has sent anything for long.
 class PeerLists
 {
 public:
@@ -38,10 +38,10 @@
         : m_heard(vms)
     {}
 
-    /// Forgets what a process has heard, as it ends.
+    /// Clears what a process has received, as it ends.
     void forget(std::size_t vm) { m_heard[vm].clear(); }
 
-    /// Returns what one VM says to another now.
+    /// Returns what one VM sends to another now.
     PeerWord wordFor(const NewsVm &sender, std::size_t senderNumber, std::size_t receiverNumber,
                      TimePoint now) const
     {
@@ -65,7 +65,7 @@
         return word;
     }
 
-    /// Takes a word in. Returns whether the list in it was taken.
+    /// Receives a report. Returns whether its list was accepted.
     bool take(NewsVm &vm, std::size_t number, std::size_t senderNumber, const PeerWord &word,
               TimePoint now)
     {
@@ -80,7 +80,7 @@
     }
 
 private:
-    /// What a VM has heard last of another one.
+    /// What a VM last received from another one.
     struct Heard
     {
         std::int64_t m_revision = 0;
--- a/tests/support/process_fleet.hpp
+++ b/tests/support/process_fleet.hpp
@@ -22,10 +22,10 @@
 
 namespace gypsumdale::testing {
 
-/// Limits hangs only; no verdict depends on it.
+/// Only limits hangs; no verdict depends on it.
 inline constexpr Duration hangGuard = std::chrono::seconds(45);
 
-/// What a test may choose of a fleet.
+/// The options of a fleet that a test may set.
 struct FleetPlan
 {
     std::vector<std::string> m_zones{"zone-a", "zone-b", "zone-c"};
@@ -67,8 +67,8 @@
 }
 
 /// Two entry VMs, two engines and a service in each of some data centres, a platform and a cloud,
-/// as processes of this machine. Ends them all when it goes; prints their last lines if a test
-/// failed. Calls are made from the test's threads, each on a connection of its own.
+/// as processes on this machine. The destructor ends them all, and prints their last lines if a
+/// test failed. Calls are made from the test's threads, each on a connection of its own.
 class ProcessFleet
 {
 public:
@@ -84,8 +84,8 @@
         m_loop.start();
         m_folder = std::filesystem::temp_directory_path()
                    / fmt::format("gypsumdale-process-{}", getpid());
-        // Another program may take a port between the search and the daemon's start; the daemon
-        // then ends at once, and all is tried with other ports.
+        // Another program may take a port between the search and the daemon's start. The daemon
+        // then ends at once, and all is tried again with other ports.
         for (int attempt = 0; attempt < 3; ++attempt) {
             if (bringUp())
                 return;
@@ -148,7 +148,7 @@
         });
     }
 
-    /// An operator's call.
+    /// Calls a node as an operator.
     Answer admin(const Node &node, const std::string &method, const std::string &target,
                  const std::string &body = {})
     {
@@ -161,7 +161,7 @@
         return admin(node, "GET", "/admin/v1/" + what).json();
     }
 
-    /// A test's call to a stand-in's own interface.
+    /// Calls the control interface of a stand-in.
     nlohmann::json standin(const std::string &name, const std::string &method,
                            const std::string &target, const nlohmann::json &body = nullptr)
     {
@@ -182,7 +182,7 @@
     const std::vector<std::string> &engines() const { return m_engines; }
     const std::vector<std::string> &services() const { return m_services; }
 
-    /// A request to the plain service, under the once-profile unless another is named.
+    /// Sends a request to the plain service, under the once-profile unless another is named.
     Answer lookUp(const Node &node, const std::string &businessKey, const std::string &key = {},
                   const std::string &profile = "stock-lookup")
     {
@@ -195,7 +195,7 @@
                     R"({"part":"M8"})");
     }
 
-    /// How often the services ran requests with this business key, all in all.
+    /// Returns how often the services ran requests with this business key in total.
     int runs(const std::string &businessKey)
     {
         int total = 0;
@@ -207,7 +207,7 @@
         return total;
     }
 
-    /// Begins to read a streamed answer in the background.
+    /// Starts to read a streamed answer in the background.
     std::shared_ptr<AnswerStream> ask(const Node &node, const std::string &prompt, int tokens,
                                       const std::string &profile = "part-match")
     {
@@ -224,7 +224,7 @@
         return stream;
     }
 
-    /// Goes on reading a job's answer behind the last event that was read.
+    /// Continues to read a job's answer after the last event that was read.
     void reattach(const Node &node, const std::shared_ptr<AnswerStream> &stream)
     {
         HttpHeaders headers = headersOf({{"Authorization", "Bearer " + alice}});
@@ -234,8 +234,8 @@
                               std::move(headers), {}));
     }
 
-    /// Reads a job to its end as a caller does: where a connection ends early, it comes back
-    /// through the given nodes in turn, as the page on whole answers says.
+    /// Reads a job to its end as a caller does: where a connection ends early, it reconnects
+    /// through the given nodes in turn, as the page on complete answers says.
     void readToEnd(const std::vector<std::string> &through,
                    const std::shared_ptr<AnswerStream> &stream)
     {
--- a/tests/support/process_fleet_settings.hpp
+++ b/tests/support/process_fleet_settings.hpp
@@ -4,7 +4,7 @@
 
 namespace gypsumdale::testing {
 
-// The fleet's files. Credentials are the samples', for tests only.
+// The fleet's settings files. Credentials are those of the samples, for tests only.
 
 inline const std::string stockLookupYaml = R"(latency:
   first-token: 500ms
--- a/tests/support/raw_caller.hpp
+++ b/tests/support/raw_caller.hpp
@@ -16,7 +16,7 @@
 /// Ends the head of a message.
 inline constexpr std::string_view headEnd = "\r\n\r\n";
 
-/// A caller's connection on loopback whose bytes a test writes itself.
+/// Caller's connection on loopback whose bytes a test writes itself.
 class RawCaller
 {
 public:
@@ -34,7 +34,7 @@
         boost::asio::write(m_socket, boost::asio::buffer(text), error);
     }
 
-    /// Returns all that comes until the connection ends.
+    /// Returns everything that arrives until the connection ends.
     std::string readToEnd()
     {
         boost::system::error_code error;
@@ -42,7 +42,8 @@
         return std::exchange(m_input, std::string());
     }
 
-    /// Returns one answer that tells its length; less of it where the connection ends before.
+    /// Returns one answer with a stated length, or the part of it that arrived before the
+    /// connection ended.
     std::string readAnswer()
     {
         boost::system::error_code error;
--- a/tests/support/request_way.hpp
+++ b/tests/support/request_way.hpp
@@ -17,27 +17,27 @@
 
 namespace gypsumdale::testing {
 
-/// A request on its way from a VM to an upstream.
+/// Request on its path from a VM to an upstream.
 struct WayRequest
 {
-    /// The VM's number.
+    /// Number of the VM.
     std::size_t m_vm = 0;
     UpstreamId m_upstream;
-    /// Its sender has reset the connection: what has not left is dropped.
+    /// Its sender has reset the connection: bytes that have not left are dropped.
     bool m_isTakenBack = false;
     bool m_hasArrived = false;
 };
 
-/// The network between VMs and upstreams, on a paused clock. Paths fall silent and heal, and a VM's
-/// link may have a queue. Nothing is lost for good but what its sender takes back.
+/// The network between VMs and upstreams, on a paused clock. Paths stop delivering and heal, and a
+/// VM's link may have a queue. Nothing is lost permanently except what its sender cancels.
 class RequestWay
 {
 public:
     using Arrived = std::function<void(const WayRequest &)>;
-    /// Told whether a connection has come about, and how long that took.
+    /// Receives whether a connection was established, and how long that took.
     using Connected = std::function<void(bool, Duration)>;
 
-    /// A connection that takes longer is given up.
+    /// Time after which an attempt to connect is abandoned.
     static constexpr Duration connectTimeout = std::chrono::milliseconds(250);
 
     RequestWay(Agenda &agenda, std::uint64_t seed, Arrived arrived)
@@ -46,7 +46,7 @@
         , m_arrived(std::move(arrived))
     {}
 
-    /// Returns a time up to the given one, never none.
+    /// Draws a time that is above zero and at most the given one.
     Duration draw(Duration most) { return most * (m_random(1000) + 1) / 1000; }
     std::size_t drawIndex(std::size_t size) { return m_random(static_cast<std::uint32_t>(size)); }
 
@@ -57,7 +57,7 @@
         silentUntil = std::max(silentUntil, until);
     }
 
-    /// Lets packets wait in a VM's link until a time, each for so long.
+    /// Delays each packet in a VM's link by `queue` until a time.
     void slow(std::size_t vm, Duration queue, TimePoint until) { m_queues[vm] = {queue, until}; }
 
     void connect(std::size_t vm, const UpstreamId &upstream, const Connected &connected)
@@ -77,7 +77,7 @@
         });
     }
 
-    /// Hands a request to the send buffer, from where it goes when the path allows.
+    /// Puts a request into the send buffer, from which it leaves when the path allows.
     void send(const std::shared_ptr<WayRequest> &request)
     {
         if (request->m_isTakenBack)
@@ -91,9 +91,9 @@
     }
 
 private:
-    /// Of what was lost, while its sender tries often.
+    /// Longest time until lost data are resent, while the sender retries often.
     static constexpr Duration resendEvery = std::chrono::milliseconds(200);
-    /// Of a path with an empty queue, there or back.
+    /// Longest one-way delay of a path with an empty queue.
     static constexpr Duration usualWay = std::chrono::milliseconds(15);
 
     struct Queue
@@ -114,7 +114,7 @@
         return draw(usualWay) + (hasQueue ? queue.m_wait : Duration::zero());
     }
 
-    /// What has left arrives, whatever its sender does, unless the path has fallen silent.
+    /// Delivers what has left, whatever its sender does, unless the path has stopped delivering.
     void reach(const std::shared_ptr<WayRequest> &request)
     {
         if (isSilent(request->m_vm, request->m_upstream))
--- a/tests/support/request_way_plays.hpp
+++ b/tests/support/request_way_plays.hpp
@@ -11,7 +11,7 @@
 
 namespace gypsumdale::testing {
 
-/// How often something was late in a play.
+/// Counts of late uses of upstreams, late requests and all arrivals in a simulation.
 struct WayLateness
 {
     int m_learned = 0;
@@ -26,7 +26,8 @@
     return {learned, world.lateRequests(), world.arrivals()};
 }
 
-/// Plays of large fleets take ten times as long: one of so many seeds is played.
+/// Returns the number of drawn seeds of which one is simulated. Large fleets take ten times as
+/// long as small ones, so fewer seeds are simulated for them.
 inline std::uint32_t seedsPerPlay(const NewsFleet &fleet)
 {
     constexpr std::uint32_t ofLarge = 16;
--- a/tests/support/request_way_world.hpp
+++ b/tests/support/request_way_world.hpp
@@ -18,8 +18,8 @@
 
 namespace gypsumdale::testing {
 
-/// A play of the news of upstreams that goes on to the first byte of requests at them: each VM's
-/// traffic thread, its connections and send buffers, and the paths.
+/// Simulation of updates about upstreams that continues to the first byte of requests at them: each
+/// VM's traffic thread, its connections and send buffers, and the paths.
 class RequestWayWorld : public UpstreamNewsWorld
 {
 public:
@@ -39,8 +39,8 @@
         agenda().after({}, [this] { harmPaths(); });
     }
 
-    /// Returns how many requests reached an upstream later after its leaving than the bound allows,
-    /// from VMs that nothing disturbed.
+    /// Returns how many requests of undisturbed VMs reached an upstream later after its leaving
+    /// than the bound allows.
     int lateRequests() const { return m_lateRequests; }
     /// Returns how many requests have reached an upstream.
     int arrivals() const { return m_arrivals; }
@@ -72,19 +72,19 @@
 private:
     using Upstreams = std::map<UpstreamId, UpstreamRecord>;
 
-    /// Until the traffic thread has what the control thread hands over.
+    /// Longest time until the traffic thread has what the control thread hands over.
     static constexpr Duration longestHandOver = std::chrono::milliseconds(200);
     static constexpr Duration longestPause = std::chrono::milliseconds(600);
     static constexpr int mostConnectFailures = 4;
-    /// Of the traffic thread's timers.
+    /// Longest delay of the traffic thread's timers.
     static constexpr Duration longestTimerDelay = std::chrono::milliseconds(20);
 
-    /// A request that was placed, with the term that it goes by.
+    /// Placed request with its delivery deadline.
     struct Placed
     {
         std::shared_ptr<WayRequest> m_request;
         TimePoint m_until{};
-        /// Its upstream is known to leave: no confirmation of the list moves the term any more.
+        /// Its upstream is known to leave: no confirmation of the list moves the deadline any more.
         bool m_isLeaving = false;
         bool isOver() const { return m_request->m_isTakenBack || m_request->m_hasArrived; }
     };
@@ -118,7 +118,7 @@
         });
     }
 
-    /// Ends the terms of requests whose upstream leaves or is gone.
+    /// Ends the deadlines of requests whose upstream leaves or is gone.
     void noteLeaving(NewsVm &vm, Traffic &traffic)
     {
         std::erase_if(traffic.m_placed, [](const auto &placed) { return placed->isOver(); });
@@ -140,7 +140,7 @@
                                   : m_term.renewed(placed.m_until, traffic.m_standing);
     }
 
-    /// Takes a request back at a time, unless its term has moved by then.
+    /// Cancels a request at a time, unless its deadline has moved by then.
     void takeBackAt(NewsVm &vm, const std::shared_ptr<Placed> &placed, TimePoint time)
     {
         later(vm, time - now(), [this, &vm, placed] {
@@ -160,7 +160,7 @@
         });
     }
 
-    /// Sends a request to an upstream of the list, or to another if no connection comes about in
+    /// Sends a request to an upstream of the list, or to another if no connection is established in
     /// time.
     void place(NewsVm &vm, int connectFailures)
     {
@@ -190,7 +190,7 @@
         m_way.connect(m_numbers[&vm], *upstream, connected);
     }
 
-    /// Sends a request, and takes back what of it is not out by the end of its term.
+    /// Sends a request, and cancels what has not left by its deadline.
     void send(NewsVm &vm, const std::shared_ptr<Placed> &placed)
     {
         m_way.send(placed->m_request);
@@ -198,7 +198,7 @@
         takeBackAt(vm, placed, until + m_way.draw(longestTimerDelay));
     }
 
-    /// Draws one that isn't known to leave; the oldest, which leaves next, half of the time.
+    /// Draws an upstream that isn't known to leave; half of the time the oldest, which leaves next.
     std::optional<UpstreamId> choose(const Upstreams &upstreams)
     {
         std::size_t kept = 0;
@@ -231,7 +231,8 @@
             ++m_lateRequests;
     }
 
-    /// Lets a path to an upstream fall silent, those of a whole data centre, or a VM's link fill.
+    /// Stops delivery on a path to an upstream or on those of a whole data centre, or fills a VM's
+    /// link.
     void harmPaths()
     {
         const TimePoint now = agenda().now();
@@ -255,7 +256,7 @@
         agenda().after(m_way.draw(std::chrono::milliseconds(400)), [this] { harmPaths(); });
     }
 
-    /// Exchanges words with another VM now and then, of whatever data centre.
+    /// Exchanges reports with another VM, of any data centre, now and then.
     void exchangeLoop(NewsVm &vm)
     {
         later(vm, PeerLists::exchangeInterval, [this, &vm] {
--- a/tests/support/soak_ledger.hpp
+++ b/tests/support/soak_ledger.hpp
@@ -18,27 +18,27 @@
 
 namespace gypsumdale::testing {
 
-/// What a caller knows of its request, from the outside.
+/// What a caller knows of its request from the outside.
 struct SoakRequest
 {
     std::size_t m_node = 0;
     bool m_mayRepeat = false;
     bool m_isStream = false;
     bool m_isLimited = false;
-    /// What a success must be.
+    /// The complete answer that a success must have.
     std::string m_whole;
-    /// Up to which revision its VM had taken in the upstreams before it was sent.
+    /// Revision up to which its VM had received the upstreams before the request was sent.
     std::int64_t m_takenIn = 0;
     /// How often its VM had been killed before.
     int m_kills = 0;
     std::chrono::steady_clock::time_point m_sentAt{};
 };
 
-/// What upstreams ran and callers were told, by request, and what the promises say of that. Shared
-/// by all threads of a soak.
+/// Records what upstreams ran and what callers received, by request, and checks it against the
+/// promises. Shared by all threads of a soak.
 ///
-/// No verdict depends on how fast the machine is: what a VM knew is told by what it asked of the
-/// store, and a quota's use is counted from the sending to the arrival.
+/// No verdict depends on the speed of the machine: what a VM knew is derived from what it asked of
+/// the store, and a quota's use is counted from the sending to the arrival.
 class SoakLedger
 {
 public:
@@ -50,7 +50,7 @@
         m_requests[id].m_request = std::move(request);
     }
 
-    /// Notes from which revision of its entry on an upstream is leaving; 0 if it stays.
+    /// Records the revision of its entry from which an upstream is leaving; 0 if it stays.
     void leaves(std::size_t upstream, std::int64_t revision)
     {
         const std::lock_guard lock(m_mutex);
@@ -74,7 +74,7 @@
             entry.m_ranAt = std::chrono::steady_clock::now();
     }
 
-    /// Notes an answer, and how often its VM had been killed when it came.
+    /// Records an answer, and how often its VM had been killed when it arrived.
     void answered(const std::string &id, const EntryAnswer &answer, int kills)
     {
         const std::lock_guard lock(m_mutex);
@@ -85,7 +85,7 @@
         ++m_byStatus[answer.m_status];
     }
 
-    /// Checks every promise on what has been seen so far.
+    /// Checks every promise on what has been recorded so far.
     void check() const
     {
         const std::lock_guard lock(m_mutex);
@@ -141,14 +141,15 @@
         CHECK_FALSE(isFalselyRefused);
         const bool isAnothers = status == 200 && entry.m_answer.m_body != request.m_whole;
         CHECK_FALSE(isAnothers);
-        // A stream that broke is cut where its caller sees it; whatever else was passed on is
-        // answered, unless the VM was killed.
+        // A stream that broke is cut where its caller sees it. Everything else that was forwarded
+        // is answered, unless the VM was killed.
         const bool isLost =
                 status == 0 && !request.m_isStream && entry.m_runs > 0 && !entry.m_wasKilled;
         CHECK_FALSE(isLost);
     }
 
-    /// In no window more requests of an account are both sent and run than its quota tolerates.
+    /// Checks that in no window more requests of an account are both sent and run than its quota
+    /// tolerates.
     void checkQuota() const
     {
         const std::size_t most = mostInWindow();
--- a/tests/support/soak_settings.hpp
+++ b/tests/support/soak_settings.hpp
@@ -6,7 +6,7 @@
 
 namespace gypsumdale::testing {
 
-/// Reads a number of the environment, for runs by hand.
+/// Reads a number from the environment, for manual runs.
 inline std::uint64_t fromEnvironment(const char *name, std::uint64_t fallback)
 {
     const char *text = std::getenv(name);
--- a/tests/support/upstream_news_world.hpp
+++ b/tests/support/upstream_news_world.hpp
@@ -20,17 +20,17 @@
 
 namespace gypsumdale::testing {
 
-/// A fleet that follows a list of upstreams, on a paused clock: store, readers, followers and peers
-/// with all their decisions; network and patience as the processes have them.
+/// Fleet that follows a list of upstreams, on a paused clock: store, readers, followers and peers
+/// with all their decisions. Network and timeouts are those of the processes.
 class UpstreamNewsWorld
 {
 public:
-    /// From learning that an upstream leaves until the last request reaches it: the traffic thread
-    /// takes the list over, and a connection may take its time.
+    /// Longest time from learning that an upstream leaves until the last request reaches it: the
+    /// traffic thread receives the list, and a connection may take its time.
     static constexpr Duration placement = std::chrono::milliseconds(450);
 
-    /// Takes how many data centres are played. Between them nothing is told while the store
-    /// answers, so that one stands for all where peers' lists are left out.
+    /// `playedDataCentres` is the number of simulated data centres. Data centres send each other
+    /// nothing while the store answers, so that one represents all where peers' lists are left out.
     UpstreamNewsWorld(std::size_t vms, std::size_t dataCentres, Duration bound,
                       NewsTroubles troubles, std::uint64_t seed, std::size_t playedDataCentres = 1)
         : m_troubles(troubles)
@@ -47,7 +47,7 @@
     UpstreamNewsWorld(const UpstreamNewsWorld &) = delete;
     UpstreamNewsWorld &operator=(const UpstreamNewsWorld &) = delete;
 
-    /// Plays for a time. Returns how many VMs that nothing disturbed used an upstream for longer
+    /// Runs the simulation for a time. Returns how many undisturbed VMs used an upstream for longer
     /// after its leaving than the bound allows.
     int play(Duration time)
     {
@@ -64,16 +64,16 @@
 
 protected:
     static constexpr std::size_t upstreams = 8;
-    /// A VM counts as undisturbed so long after its last trouble.
+    /// Time after its last fault from which a VM counts as undisturbed.
     static constexpr Duration settling = std::chrono::seconds(4);
 
-    /// The process of a VM has begun.
+    /// Called when the process of a VM has started.
     virtual void begun(NewsVm & /*vm*/) {}
-    /// A VM's list was confirmed by the store, a reader or a peer.
+    /// Called when a VM's list was confirmed by the store, a reader or a peer.
     virtual void confirmed(NewsVm & /*vm*/) {}
-    /// The store has left a VM's question unanswered.
+    /// Called when the store has left a VM's call unanswered.
     virtual void leftUnanswered(NewsVm & /*vm*/) {}
-    /// The store has taken the word of an upstream that it leaves.
+    /// Called when the store has received an upstream's report that it leaves.
     virtual void left(const UpstreamId & /*upstream*/) {}
 
     static UpstreamId idOf(std::size_t number) { return UpstreamId(std::to_string(number)); }
@@ -102,7 +102,7 @@
 
 private:
     static constexpr std::size_t readers = 2;
-    /// Until peers notice that a reader is silent or turned away.
+    /// Time until peers notice that a reader is silent or refused by the store.
     static constexpr Duration noticed = std::chrono::milliseconds(2500);
 
     Duration draw(Duration most) { return most * (m_random(1000) + 1) / 1000; }
@@ -133,7 +133,7 @@
             ask(vm, {std::nullopt, {}, platform::StoreClient::listTimeout, now});
     }
 
-    /// Sends a call to the store; its answer, or the lack of one, comes later.
+    /// Sends a call to the store; its answer, or the lack of one, follows later.
     void ask(NewsVm &vm, const StoreCall &call)
     {
         if (!vm.m_breaker.tryCall(call.m_sentAt))
@@ -162,7 +162,7 @@
         return true;
     }
 
-    /// The store's side of a call: a watch waits until something changes or its time is over.
+    /// Handles a call in the store: a watch waits until something changes or its time is over.
     void answer(NewsVm &vm, const StoreCall &call, Duration wait)
     {
         const UpstreamList &list = m_store.list();
@@ -275,7 +275,8 @@
         });
     }
 
-    /// The first two of a data centre that are not known to be lost read for its others.
+    /// Selects the first two VMs of a data centre that are not known to be lost as readers for its
+    /// others.
     void chooseReaders()
     {
         std::vector<std::size_t> chosen(m_playedDataCentres);
@@ -324,7 +325,7 @@
         }
     }
 
-    /// Troubles strike readers more than others: what they do wrong reaches all.
+    /// Injects faults. They hit readers more often than others, as a reader's faults reach all.
     void disturb()
     {
         const bool strikesReader = m_random(2) == 0;
@@ -386,7 +387,7 @@
     pcg32 m_random;
     Agenda m_agenda;
     UpstreamStore m_store;
-    /// VMs of a data centre.
+    /// Number of VMs of a data centre.
     std::size_t m_near;
     std::size_t m_playedDataCentres;
     std::vector<std::unique_ptr<NewsVm>> m_vms;
--- a/tests/support/upstream_store.hpp
+++ b/tests/support/upstream_store.hpp
@@ -30,7 +30,7 @@
         note(change);
     }
     void dropHistory() { m_keptFrom = m_list.m_revision; }
-    /// Calls something once, at the next change.
+    /// Calls a function once, at the next change.
     void onChange(std::function<void()> told) { m_told.push_back(std::move(told)); }
 
     const UpstreamList &list() const { return m_list; }
