--- a/tests/src/process-config.cpp
+++ b/tests/src/process-config.cpp
@@ -11,7 +11,7 @@
 
 constexpr const char *profile = "profile/stock-lookup";
 
-/// The profile with another priority: a new version whose body tells it from the others.
+/// Returns the profile with another priority: a new version whose body differs from the others.
 std::string withPriority(int priority)
 {
     std::string text = stockLookupYaml;
@@ -41,8 +41,10 @@
 
 } // namespace
 
-// An operator changes a profile through one entry VM: it comes into force on all, callers notice on
-// all of them, and the rollout says so. A document with a mistake is refused whole, with its place.
+// Guards against a change that is in force on some nodes only, and against a document with a
+// mistake that is accepted in part. An operator writes a profile through one entry VM; callers on
+// all of them get the new one, and the rollout reports it. A refused document names the place of
+// the mistake.
 TEST_CASE("a change is in force on all nodes")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 5, 5});
@@ -68,8 +70,8 @@
     REQUIRE(fleet.configVersion(fleet.node(1), profile) == version);
 }
 
-// Two operators edit the same version through two data centres at once. One of them wins; the other
-// is shown both texts, and nothing of the first one's is lost.
+// Guards against a lost update when two operators edit the same version through two data centres at
+// once. One write wins; the other operator gets both texts.
 TEST_CASE("two operators edit the same version")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 5, 5});
@@ -96,8 +98,9 @@
             withPriority(leftWon ? 5 : 4)));
 }
 
-// A profile was changed and is in force everywhere. Then the platform goes out, and in the outage
-// an entry VM, or both of a data centre, restart. None may serve anybody by the old profile.
+// Guards against serving by an old profile after a restart. A changed profile is in force
+// everywhere, then the platform is unavailable, and one or both entry VMs of a data centre restart
+// meanwhile.
 TEST_CASE("a node restarted in an outage serves no older version")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 5, 5});
@@ -129,8 +132,8 @@
             return fleet.isReady(fleet.node(0));
         });
     } else {
-        // Nobody in the data centre knows what was in force: they wait for the platform. Each
-        // answers calls meanwhile, so that the checks below meet a running process.
+        // Nobody in the data centre knows what was in force, so its nodes wait for the platform.
+        // Each answers calls meanwhile, so that the checks below meet a running process.
         for (int round = 0; round < 100; ++round)
             neverOlder();
         fleet.clearFaults("platform");
@@ -145,8 +148,9 @@
     neverOlder();
 }
 
-// The platform takes an operator's change, but its answer is lost. The entry VM reads the object
-// back, recognises its own write, and tells the operator the truth: accepted, once.
+// Guards against an operator's change that is reported as failed or applied twice because the
+// platform's answer to the write was lost. The entry VM reads the object back, recognises its own
+// write and reports it as accepted, once.
 TEST_CASE("a lost answer to an operator's change is settled")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 5, 5});
--- a/tests/src/process-entry-caller.cpp
+++ b/tests/src/process-entry-caller.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// More than the kernel keeps for a connection on both its sides.
+/// More than the kernel buffers for a connection on both its sides.
 constexpr std::size_t longerThanBuffers = std::size_t{32} * 1024 * 1024;
 
 /// Returns a request whose deadline is longer than a stop takes.
@@ -34,9 +34,8 @@
 
 } // namespace
 
-// A VM is stopped while a fitter's old program, which speaks HTTP/1.0, waits for a stream. Its
-// answer is collected and nothing of it is out; when the grace time is over its connection ends
-// without a byte.
+// Guards against a connection that ends without an answer. An HTTP/1.0 caller's stream is collected
+// before it is sent, so nothing has been sent when the VM stops and the grace time is over.
 TEST_CASE("a stream that is collected for a caller of HTTP/1.0 ends with an answer")
 {
     EntryWorld world;
@@ -56,9 +55,8 @@
     CHECK(answer.find(" 502 ") != std::string::npos);
 }
 
-// A VM is stopped while a buyer's line is slow: the engine's answer is long and not yet with the
-// kernel when the grace time is over. The buyer gets the beginning of it, and on-call finds no line
-// that says so.
+// Guards against a truncated answer without a log line. The caller reads slowly, so that the end of
+// a long answer has not reached the kernel when the VM stops and the grace time is over.
 TEST_CASE("an answer that is cut by the end of the process is logged")
 {
     EntryWorld world;
--- a/tests/src/process-entry-leaving-running.cpp
+++ b/tests/src/process-entry-leaving-running.cpp
@@ -11,7 +11,7 @@
 using namespace gypsumdale::testing;
 using namespace std::chrono_literals;
 
-// Guards against taking back what its upstream has got and is at work on.
+// Guards against cancelling a request that its upstream has received and is working on.
 TEST_CASE("a request that runs as its upstream says that it leaves is answered by it")
 {
     constexpr std::chrono::milliseconds leavingApply = 1000ms;
--- a/tests/src/process-entry-leaving.cpp
+++ b/tests/src/process-entry-leaving.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds leavingApply = 1000ms;
-/// More than a path takes before it falls silent, and less than a send buffer.
+/// More than a path accepts before it stops delivering, and less than a send buffer.
 const std::string largeBody(300'000, 'b');
 
 bool isSeen(const UpstreamStandIn &upstream, std::string_view id)
@@ -26,7 +26,7 @@
     return false;
 }
 
-/// Takes the second upstream away, so that the first gets all requests.
+/// Removes the second upstream, so that the first gets all requests.
 void leaveOneUpstream(EntryWorld &world)
 {
     world.store().remove("servers", world.upstream(1).id());
@@ -35,8 +35,8 @@
     });
 }
 
-/// Heals the path to the first upstream, and returns when it has passed on what it held and let a
-/// later request pass.
+/// Heals the path to the first upstream, and returns when the path has delivered what it held and
+/// let a later request pass.
 void heal(EntryWorld &world)
 {
     FaultProxy &link = world.upstreamLink(0);
@@ -45,7 +45,8 @@
     REQUIRE(world.get(link.port(), "/marker").m_status == 200);
 }
 
-/// Tells whether an answer says what came of a request that the first upstream has not run.
+/// Returns whether an answer correctly reports the outcome of a request that the first upstream has
+/// not run.
 bool isHonest(const EntryAnswer &answer)
 {
     const bool isOthers = answer.m_status == 200 && answer.m_body == "from u-2";
@@ -55,7 +56,7 @@
 
 } // namespace
 
-// Guards against requests that a silent path holds until after the leaving of their upstream.
+// Guards against requests that a silent path holds and delivers after their upstream has left.
 TEST_CASE("requests held up on a silent path don't reach an upstream that has left")
 {
     EntryWorld world(1, true, leavingApply);
@@ -85,7 +86,7 @@
     CHECK(isHonest(once));
 }
 
-// Guards against such requests whose callers still wait when the path heals.
+// Guards against the same while the callers of such requests still wait when the path heals.
 TEST_CASE("requests held up on a silent path are taken back while their callers wait")
 {
     EntryWorld world(1, true, leavingApply);
@@ -105,7 +106,7 @@
     CHECK(isHonest(once));
 }
 
-// Guards against requests that run after their caller was told that its time is over.
+// Guards against requests that run after their caller was told that the deadline has passed.
 TEST_CASE("a request whose caller's time is over doesn't reach its upstream when the path heals")
 {
     EntryWorld world(1, true);
--- a/tests/src/process-entry-metrics.cpp
+++ b/tests/src/process-entry-metrics.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Returns a metric without labels from a page, or nothing if it isn't shown.
+/// Returns a metric without labels from a page, or nothing if the page doesn't show it.
 std::optional<double> valueOn(const std::string &page, const std::string &name)
 {
     const std::string mark = "\n" + name + " ";
@@ -29,7 +29,7 @@
 
 TEST_CASE("an entry process counts what goes over its link, by kind")
 {
-    // Guards against a full link of which nobody can say what fills it.
+    // Guards against a full link without metrics that show what fills it.
     EntryWorld world(2);
     const std::string body = "body";
     const std::string before = pageOf(world, 0);
@@ -59,7 +59,7 @@
 
 TEST_CASE("an entry process shows how old the list was that it placed by")
 {
-    // Guards against placements by an old list that only a line of the log tells of.
+    // Guards against selecting upstreams from an old list that shows in a log line only.
     const std::string age = "gypsumdale_placement_list_age_millis";
     EntryWorld world;
     CHECK_FALSE(valueOn(pageOf(world, 0), age));
--- a/tests/src/process-entry-restart.cpp
+++ b/tests/src/process-entry-restart.cpp
@@ -15,17 +15,17 @@
 namespace {
 
 constexpr std::size_t nodeCount = 6;
-/// Of some 500 bytes each as the store sends them.
+/// Routes of about 500 bytes each, as the store sends them.
 constexpr int furtherRoutes = 1100;
 constexpr std::uint64_t configBytes = 500'000;
-/// Configurations that may enter a VM before it is ready: one from a peer, one from the store, and
-/// as much again for what was begun in vain and for the exchanges.
+/// Configurations that may be sent to a VM before it is ready: one by a peer, one by the store, and
+/// as much again for abandoned transfers and for the exchanges.
 constexpr std::uint64_t configsAtMost = 4;
-/// 10 Mbit/s, and a fifth of it, on which the text takes longer than any single wait.
+/// 10 Mbit/s, and a fifth of it, on which the text takes longer than any single timeout.
 constexpr double linkBytesPerSecond = 1'250'000;
 constexpr double crowdedLinkBytesPerSecond = 250'000;
 
-/// A fleet with a large configuration, one VM of which has all that enters it on one narrow link.
+/// Fleet with a large configuration, one VM of which receives everything over one narrow link.
 class NarrowWorld
 {
 public:
@@ -36,7 +36,8 @@
         m_world.configure(2, {"key"}, furtherRoutes);
         for (std::size_t index = 0; index < nodeCount; ++index)
             m_world.waitUntil("adopted", [this, index] { return holdsVersion(index, 2); });
-        // Answers of the others count whoever they are for: among themselves they send little.
+        // All answers of the other VMs count, whoever receives them; they send little to each
+        // other.
         for (std::size_t index = 1; index < nodeCount; ++index)
             m_world.node(index).m_peerLink->narrow(nullptr, &m_link);
         m_world.node().m_peerLink->narrow(&m_link, nullptr);
@@ -47,8 +48,8 @@
 
     EntryWorld::EntryNode &node() { return m_world.node(); }
 
-    /// Ends the VM's process without warning, starts it again, and returns what has entered it
-    /// until it is ready.
+    /// Kills the VM's process without notice, starts it again, and returns the number of bytes that
+    /// entered the VM until it is ready.
     std::uint64_t restart(LinkFault storeFault)
     {
         node().m_process->send(SIGKILL);
@@ -60,8 +61,8 @@
         return m_link.bytes() - before;
     }
 
-    /// Cuts the running VM off from the store, writes a version, and returns what has entered the
-    /// VM until it holds that.
+    /// Cuts the running VM off from the store, writes a version, and returns the number of bytes
+    /// that entered the VM until it has that version.
     std::uint64_t configureWithoutStore(int version)
     {
         node().m_storeLink->set(LinkFault::Silence);
@@ -85,7 +86,8 @@
 
 } // namespace
 
-// Guards against whole configurations from all peers at once, none of which arrives.
+// Guards against peers that all send the full configuration at once, so that none of the transfers
+// completes.
 TEST_CASE("a VM behind a narrow link that the store doesn't answer gets the configuration")
 {
     const double bytesPerSecond = GENERATE(linkBytesPerSecond, crowdedLinkBytesPerSecond);
@@ -95,7 +97,7 @@
     CHECK(entered < configsAtMost * configBytes);
 }
 
-// Guards against peers that fill the link on which the store's answer comes.
+// Guards against peers that fill the link on which the store's answer arrives.
 TEST_CASE("a VM behind a narrow link reads the configuration from the store")
 {
     const double bytesPerSecond = GENERATE(linkBytesPerSecond, crowdedLinkBytesPerSecond);
@@ -105,7 +107,7 @@
     CHECK(entered < configsAtMost * configBytes);
 }
 
-// Guards against a promise of small fleets that rests on texts sent unasked.
+// Guards against a promise that holds in small fleets only, where texts are sent unrequested.
 TEST_CASE("a VM that is cut off from the store gets a new version from one peer")
 {
     NarrowWorld world(linkBytesPerSecond);
--- a/tests/src/process-entry-soak.cpp
+++ b/tests/src/process-entry-soak.cpp
@@ -55,7 +55,7 @@
     return whole;
 }
 
-/// Upstreams that refuse, fail, lose answers, fall silent or are slow, each now and then.
+/// Upstreams that now and then refuse, fail, lose answers, fall silent or are slow.
 class FaultyUpstreams
 {
 public:
@@ -81,7 +81,7 @@
     {
         const std::string id(request.m_headers.value("Gypsumdale-Request-Id"));
         if (request.m_target.starts_with("/-/")) {
-            // Its runs can't be moved.
+            // Running requests can't be moved away from it.
             responder.send({404, {}, {}});
             return;
         }
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Makes the events that come after the one that the caller has; breaks off in the middle of
-    /// one now and then.
+    /// Generates the events after the last one that the caller has. Now and then breaks off in the
+    /// middle of an event.
     void stream(const HttpRequest &request, HttpResponder &responder, const HttpHeaders &headers)
     {
         const std::string id(request.m_headers.value("Gypsumdale-Request-Id"));
@@ -131,7 +131,7 @@
     }
 
     SoakLedger &m_ledger;
-    // The stand-ins share one loop, so that one stream of numbers serves both.
+    // The stand-ins share one loop, so that one random generator serves both.
     pcg32 m_random;
     std::atomic<bool> m_isCalm = false;
 };
@@ -141,7 +141,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(millis));
 }
 
-/// What all threads of a soak share.
+/// State shared by all threads of a soak.
 struct Soak
 {
     Soak(std::size_t nodes, std::uint64_t seed)
@@ -156,16 +156,16 @@
     SoakLedger m_ledger;
     std::atomic<bool> m_isOver = false;
     std::atomic<int> m_version = 1;
-    /// Processes that did not end.
+    /// Number of processes that did not end.
     std::atomic<int> m_hangs = 0;
-    /// By VM.
+    /// Number of kills, by VM.
     std::vector<std::atomic<int>> m_kills;
-    /// By VM, held by who stops, pauses or kills it.
+    /// By VM, held by the thread that stops, pauses or kills it.
     std::vector<std::mutex> m_inUse;
     std::mutex m_announcing;
 };
 
-/// Lets an upstream leave or return, and the ledger know.
+/// Makes an upstream leave or return, and records that in the ledger.
 void announce(Soak &soak, std::size_t upstream, bool isLeaving)
 {
     const std::lock_guard lock(soak.m_announcing);
@@ -177,7 +177,8 @@
         soak.m_ledger.leaves(upstream, revision);
 }
 
-/// Does one thing after the other to processes, store and configuration. Several of them overlap.
+/// Disturbs processes, store and configuration, one after the other. Several disturbers run at the
+/// same time.
 class Disturber
 {
 public:
@@ -233,7 +234,7 @@
             restart(node);
             break;
         default:
-            // The kernel's own action ends a process that has not come to block its signals.
+            // The default action of the signal ends a process that has not yet blocked its signals.
             if (m_soak.m_world.get(node.m_readyPort, "/-/ready").m_status != 0)
                 node.m_process->send(SIGHUP);
         }
@@ -254,7 +255,7 @@
     pcg32 m_random;
 };
 
-/// Harms one link after the other, beside what happens to processes.
+/// Disturbs one link after the other, in addition to what happens to processes.
 void harmLinks(Soak &soak, const std::vector<FaultProxy *> &links, std::uint64_t stream)
 {
     constexpr std::array faults = {LinkFault::Delay, LinkFault::CutToTarget,
@@ -293,7 +294,7 @@
         link->set(fault);
 }
 
-/// Parts all VMs from each other now and then, long enough for them to notice.
+/// Separates all VMs from each other now and then, long enough for them to notice.
 void partVms(Soak &soak)
 {
     constexpr std::array faults = {LinkFault::Silence, LinkFault::Reset, LinkFault::CutFromTarget};
@@ -306,8 +307,8 @@
     }
 }
 
-/// Sends one request and notes what came of it. The first callers belong to the account with a
-/// quota; every other keeps its connections.
+/// Sends one request and records its outcome. The first callers belong to the account with a quota;
+/// every other caller keeps its connections.
 int callOnce(Soak &soak, std::size_t caller, const std::string &id, const Route &route,
              std::size_t index)
 {
@@ -338,14 +339,14 @@
         const std::size_t node = random(static_cast<unsigned>(soak.m_world.nodeCount()));
         const int status =
                 callOnce(soak, caller, fmt::format("c{}-{}", caller, number), route, node);
-        // A node that is down refuses at once; callers don't come back in the same moment.
+        // A node that is down refuses at once; callers don't retry at the same moment.
         if (status == 0 || status == 429)
             pause(20);
     }
 }
 
-/// Waits until a VM sends nothing to an upstream that leaves. Whatever it still sends is allowed,
-/// as it need not have heard of it yet.
+/// Waits until a VM sends nothing to an upstream that leaves. What it still sends meanwhile is
+/// allowed, as it may not have received the report yet.
 void waitUntilLeftAlone(Soak &soak, std::size_t node, std::size_t upstream)
 {
     constexpr int enough = 12;
@@ -377,13 +378,16 @@
 
 TEST_CASE("entry processes keep their promises while everything around them fails")
 {
-    // Processes are paused, killed, stopped and restarted, the store comes and goes, upstreams
-    // refuse, fail and lose answers, and links are delayed, cut one way or both and reset, those
-    // between VMs too, and all of those at once. A request that may not repeat runs once at most,
-    // nothing that ran is called not run, a success is whole and the caller's own, what was passed
-    // on is answered unless its VM was killed, a VM that has taken in that an upstream leaves sends
-    // nothing there, an account gets what its quota tolerates over all VMs, and afterwards all is
-    // served again.
+    // Guards against promises that break under combined faults. Processes are paused, killed,
+    // stopped and restarted, the store comes and goes, upstreams refuse, fail and lose answers, and
+    // links, also those between VMs, are delayed, cut in one or both directions and reset, all at
+    // the same time.
+    //
+    // The promises: a request that may not be repeated runs at most once; nothing that ran is
+    // reported as not run; a success is complete and the caller's own; what was forwarded is
+    // answered unless its VM was killed; a VM that has received the report that an upstream leaves
+    // sends nothing there; an account gets what its quota tolerates over all VMs; afterwards
+    // everything is served again.
     Soak soak(soakNodes(), soakSeed());
     EntryWorld &world = soak.m_world;
     FaultyUpstreams upstreams(world, soak.m_ledger, soak.m_seed);
@@ -424,7 +428,8 @@
     world.store().refuse(false);
     waitUntilServed(soak);
 
-    // A VM that one of the two tells, the store or its peers, leaves a leaving upstream alone.
+    // A VM that receives the report from either the store or its peers sends nothing to a leaving
+    // upstream.
     world.node(0).m_storeLink->set(LinkFault::Silence);
     announce(soak, 0, true);
     for (std::size_t node = 0; node < world.nodeCount(); ++node)
--- a/tests/src/process-entry-stop.cpp
+++ b/tests/src/process-entry-stop.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// Whether a caller goes on using its connection after a request.
+/// Whether a caller continues to use its connection after a request.
 enum class Connection {
     Keep,
     Close,
@@ -48,7 +48,7 @@
     return false;
 }
 
-/// Makes upstreams that have not answered when the process stops.
+/// Keeps the upstreams from answering before the process has stopped.
 void answerNever(EntryWorld &world)
 {
     world.behave([](const HttpRequest &, HttpResponder &, const HttpHeaders &) {
@@ -67,11 +67,11 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(millis));
 }
 
-/// Ends every whole answer of the upstreams in the test of stops in turn.
+/// Ends every complete answer of the upstreams in the test of stops in turn.
 constexpr std::string_view answerEnd = "whole-end";
 constexpr std::string_view lastChunk = "\r\n0\r\n\r\n";
 
-/// Which requests callers sent, and which of them got a whole answer or a refusal.
+/// Records which requests callers sent, and which of them got a complete answer or a refusal.
 class SentRequests
 {
 public:
@@ -93,7 +93,7 @@
         return m_answered.size();
     }
 
-    /// Returns those that got no answer although an upstream has seen them.
+    /// Returns the requests that got no answer although an upstream has seen them.
     std::set<std::string> lost(EntryWorld &world) const
     {
         const std::lock_guard lock(m_mutex);
@@ -115,7 +115,8 @@
     std::set<std::string> m_unanswered;
 };
 
-/// Tells whether a request got its upstream's whole answer, or the refusal or error of the process.
+/// Returns whether a request got its upstream's complete answer, or the refusal or error of the
+/// process.
 bool isWhole(const std::string &answer)
 {
     if (!answer.starts_with("HTTP/1.1 200"))
@@ -123,7 +124,7 @@
     return answer.ends_with(answerEnd) || answer.ends_with(lastChunk);
 }
 
-/// Sends one request on a connection of its own, some time after it was opened.
+/// Sends one request on a connection of its own, some time after the connection was opened.
 void callOnce(const EntryWorld::EntryNode &node, SentRequests &sent, pcg32 &random)
 {
     RawCaller caller;
@@ -137,7 +138,7 @@
     sent.note(id, isWhole(caller.readToEnd()));
 }
 
-/// A caller that goes on using its connection looks for another VM after so many requests.
+/// A caller that reuses its connection looks for another VM after this many requests.
 constexpr int mostOnOneConnection = 40;
 
 /// Sends one request after the other on one connection, as long as it is kept.
@@ -163,14 +164,14 @@
 
 } // namespace
 
-// VMs are stopped and started in turn. A buyer's part match is sent to one, on a new connection,
-// just before it stops to accept. It is read and reaches an engine, and 2 ms later the connection
-// ends without an answer. The process had counted requests under way, there was none between the
-// connection and its request, and so it left the registry and ended while it read this one.
-// Evidence: in the reported day both lost requests were sent 2.566 s after the signal, reached
-// engines at 2.605 and 2.606 s, the time until which connections are accepted being 2.6 s, and
-// ended together at 2.608 s. Without the count of connections none of these gets a byte of an
-// answer.
+// Guards against a request that is read and passed to an engine, but whose connection ends without
+// an answer. It arrives on a connection that was opened just before the process stopped accepting.
+// The process counted requests in flight but no connections, so it left the registry and ended
+// while it read the request.
+//
+// Seen with two requests: sent 2.566 s after the signal, with connections accepted until 2.6 s,
+// they reached engines at 2.605 s and 2.606 s, and both connections ended at 2.608 s. Without the
+// count of connections none of the requests below gets a byte of an answer.
 TEST_CASE("a request that comes while an entry process leaves the registry is answered")
 {
     EntryWorld world;
@@ -178,7 +179,7 @@
         sleepFiber(std::chrono::milliseconds(800));
         responder.send({200, headers, "whole"});
     });
-    // Makes the moment wide in which the process reads requests and is about to end.
+    // Extends the time in which the process reads requests and is about to end.
     world.store().delayRemovals(std::chrono::milliseconds(400));
     stopAndWaitUntilNotReady(world);
 
@@ -202,16 +203,16 @@
     CHECK(world.node().m_process->exitStatus() == 0);
 }
 
-// A VM is stopped while an engine is slow. A fitter's request was read and passed on; when the
-// grace time is over the process ends, and the fitter's connection with it, without a byte. The
-// fitter can't tell whether the order runs, and waits for a connection's error in place of an
-// answer.
+// Guards against connections that end without an answer when a VM stops while an engine is slow.
+// The requests were read and forwarded, and the grace time ends before the engine answers: without
+// an answer the caller can't know whether the request runs.
 TEST_CASE("requests under way at the end of the grace time get an answer")
 {
     EntryWorld world;
     answerNever(world);
     stopAndWaitUntilNotReady(world);
-    // The routes' time-out is 5 s and the grace time 6 s: sent now, they outlast it.
+    // The routes' timeout is 5 s and the grace time 6 s: sent now, the requests outlast the grace
+    // time.
     std::this_thread::sleep_for(std::chrono::milliseconds(1200));
 
     SECTION("that says that it may have run, where it may not repeat")
@@ -245,16 +246,16 @@
         CHECK(answer.find("\r\n0\r\n") == std::string::npos);
     }
     waitUntilEnded(world);
-    // On-call finds the request by its id.
+    // The request is found in the log by its id.
     const std::string log = world.wholeLog(world.node());
     CHECK(log.find("\"event\":\"request-failed\"") != std::string::npos);
     CHECK(log.find("\"request\":\"r-1\"") != std::string::npos);
 }
 
-// VMs are stopped and started in turn, some beside each other, settings are reloaded and the
-// configuration changes: planned work alone. Callers use new connections, on which a request comes
-// a moment later, and kept ones until they are closed. Whatever an upstream has seen is answered: a
-// buyer whose request was read never waits at a connection that just ends.
+// Guards against lost requests during planned work alone: VMs are stopped and started in turn, some
+// at the same time, settings are reloaded and the configuration changes. Callers use new
+// connections, on which a request comes a moment later, and kept ones until they are closed.
+// Whatever an upstream has seen is answered.
 TEST_CASE("no request that was passed on is lost while entry processes stop in turn")
 {
     constexpr int nodeCount = 3;
@@ -263,7 +264,7 @@
     const std::uint64_t seconds = soakSeconds();
     EntryWorld world(nodeCount);
     pcg32 answerTimes(seed, 1);
-    // The stand-ins share one loop, so that one stream of numbers serves both.
+    // The stand-ins share one loop, so that one random generator serves both.
     world.behave([&answerTimes](const HttpRequest &request, HttpResponder &responder,
                                 const HttpHeaders &headers) {
         sleepFiber(std::chrono::milliseconds(answerTimes(400)));
@@ -325,8 +326,8 @@
     CHECK(lost.empty());
 }
 
-// A VM is stopped while requests are under way; its manager sends the signal again, and the
-// settings are read again. Neither may end the stop sooner or the requests with it.
+// Guards against a second signal or a reload that ends a stop early, and the requests in flight
+// with it.
 TEST_CASE("a further signal and a reload leave a stop as it is")
 {
     EntryWorld world;
@@ -351,22 +352,23 @@
 
 namespace {
 
-/// Returns the log of a process that was killed while it left the registry; nothing if it had ended
-/// by itself when the test looked, as a busy machine holds the test up.
+/// Returns the log of a process that was killed while it left the registry. Returns nothing if it
+/// had ended by itself when the test looked, as a busy machine delays the test.
 std::optional<std::string> logOfKilledWhileLeaving()
 {
     EntryWorld world;
     world.store().delayRemovals(std::chrono::seconds(20));
     answerNever(world);
     stopAndWaitUntilNotReady(world);
-    // The routes' time-out is 5 s and the grace time 6 s: sent now, it outlasts the grace time.
+    // The routes' timeout is 5 s and the grace time 6 s: sent now, the request outlasts the grace
+    // time.
     std::this_thread::sleep_for(std::chrono::milliseconds(1200));
     RawCaller caller;
     REQUIRE(caller.connect(world.node().m_callerPort));
     caller.write(requestOf("/once/x", "r-1"));
     CHECK(caller.readToEnd().starts_with("HTTP/1.1 502"));
-    // It leaves the registry now. The platform's signal comes at the end of the grace time, within
-    // that: the line has to be there while the process still runs.
+    // The process now leaves the registry. The platform's signal comes at the end of the grace
+    // time, before that is done: the line must be there while the process still runs.
     world.waitUntil("it says why the stop ended", [&] {
         return world.wholeLog(world.node()).find("\"event\":\"drained\"") != std::string::npos;
     });
@@ -379,8 +381,8 @@
 
 } // namespace
 
-// A VM is stopped while the store is silent: leaving the registry takes until the platform ends the
-// process. On-call asks why the stop ended and finds nothing, as the last lines were kept for the
+// Guards against a missing log line about why a stop ended. The store is silent, so that leaving
+// the registry takes until the platform kills the process; the last lines were held back until the
 // process's own end.
 TEST_CASE("a process that is killed while it leaves the registry has logged why its stop ended")
 {
@@ -388,19 +390,19 @@
     std::optional<std::string> log;
     for (int tries = 0; !log && tries < mostTries; ++tries)
         log = logOfKilledWhileLeaving();
-    // A line that is kept for the process's own end is never seen before it.
+    // A line that is held back until the process's own end is never seen before it.
     REQUIRE(log);
     CHECK(log->find("\"event\":\"drained\"") != std::string::npos);
     CHECK(log->find("\"event\":\"request-failed\"") != std::string::npos);
 }
 
-// A VM is stopped while a fitter's drawing comes over a slow line. Its last byte comes when the
-// grace time is over and the VM is leaving the registry: the request is whole and no engine may
-// have it any more, so the fitter is told to come back.
+// Guards against passing on a request after the grace time. Its last byte arrives on a slow
+// connection when the grace time is over and the VM leaves the registry. The request is complete,
+// but no engine may get it any more, so the caller is told to retry.
 TEST_CASE("a request that is whole only after the grace time is refused as not run")
 {
     EntryWorld world;
-    // Makes the moment wide in which the process is about to end.
+    // Extends the time in which the process is about to end.
     world.store().delayRemovals(std::chrono::seconds(20));
     stopAndWaitUntilNotReady(world);
     RawCaller caller;
--- a/tests/src/process-entry.cpp
+++ b/tests/src/process-entry.cpp
@@ -105,8 +105,9 @@
     }
     SECTION("a request that may not repeat and whose answer was lost is never called not run")
     {
-        // An upstream books the screws and its connection breaks before the answer. Told "not
-        // run", the buyer orders again and gets them twice.
+        // Guards against "not run" for a request that ran: the upstream runs it and its connection
+        // breaks before the answer. A caller told "not run" would send the order again, and it
+        // would run twice.
         world.behave([](const HttpRequest &, HttpResponder &responder, HttpHeaders) {
             responder.abandon();
         });
@@ -130,8 +131,9 @@
     }
     SECTION("a request at an upstream that started again is answered when that is known")
     {
-        // An upstream crashes behind a cut: its connections stay open without a word. It starts
-        // again under its name and says so, and the buyer still waited for it until the deadline.
+        // Guards against waiting until the deadline for an upstream that restarted. It crashes
+        // behind a cut link, so that its connections stay open and silent, and then starts again
+        // under its name and announces that.
         world.behave([](const HttpRequest &, HttpResponder &, HttpHeaders) {
             sleepFiber(std::chrono::seconds(20));
         });
@@ -168,7 +170,7 @@
 
 namespace {
 
-/// Lets both upstreams answer when they have read the prompt, at 10,000 tokens a second.
+/// Makes both upstreams answer after reading the prompt, at 10,000 tokens a second.
 void readPrompts(EntryWorld &world)
 {
     world.behave(
@@ -182,10 +184,9 @@
 
 } // namespace
 
-// Each engine has a prompt to read that takes two seconds. A request whose caller has 1.5 seconds
-// left would wait at one of them until they have passed. The speed is known from the requests
-// before: it is rejected at once, no engine ever sees it, and one whose caller has more time is
-// served.
+// Guards against placing a request that must wait beyond its deadline. Each engine reads a prompt
+// for two seconds and the caller has 1.5 seconds left. The speed is known from earlier requests, so
+// the request is rejected at once without reaching an engine, and one with more time is served.
 TEST_CASE("an entry process rejects a stream at once that no engine would begin in time")
 {
     EntryWorld world;
@@ -220,8 +221,8 @@
 
 TEST_CASE("an entry process resumes a stream within one answer")
 {
-    // A runner breaks off in the middle of the third event. The caller sees every event once, as if
-    // nothing had happened.
+    // A runner breaks off in the middle of the third event. The caller receives every event once,
+    // without a visible break.
     EntryWorld world;
     std::atomic<int> calls = 0;
     std::string resumedAfter;
@@ -245,8 +246,8 @@
 
 TEST_CASE("an entry process moves a draft away from a leaving engine")
 {
-    // An engine is reclaimed under a fitter's long draft, which may not run twice. The run is moved
-    // with its memory, and the fitter gets every event once, in one answer.
+    // An engine is reclaimed during a long stream that may not run twice. The run is moved with its
+    // memory, and the caller receives every event once, in one answer.
     EntryWorld world;
     std::atomic<UpstreamStandIn *> source = nullptr;
     std::atomic<bool> isStopped = false;
@@ -292,7 +293,8 @@
 
 TEST_CASE("an entry process cancels upstream when the caller leaves")
 {
-    // A caller closes its connection while the runner works; the work would go on for nobody.
+    // Guards against work without a recipient: the caller closes its connection while the runner
+    // works.
     EntryWorld world;
     std::atomic<bool> hasBegun = false;
     std::atomic<bool> sawEnd = false;
@@ -356,15 +358,15 @@
 
 TEST_CASE("entry processes tell each other what the store tells only one")
 {
-    // The store turns one VM away while it serves the other and the operator, who takes a key away.
-    // The VM must refuse the key all the same.
+    // Guards against a VM that still accepts a revoked key because the store refuses its calls. The
+    // store serves the other VM and the operator who removes the key.
     EntryWorld world(2);
     world.waitUntil("the VMs know each other", [&] {
         return world.log(world.node(0)).find("peer-known") != std::string::npos;
     });
     world.store().refuse(true);
     CHECK(world.call(world.node(1), "/again/x", "r-1").m_status == 200);
-    // A third process that starts now reaches no store and learns everything from its peers.
+    // A third process that starts now can't reach the store and learns everything from its peers.
     world.node(1).m_process.reset();
     world.start(world.node(1));
     world.waitUntil("it is ready by its peer's word", [&] { return world.isReady(world.node(1)); });
@@ -373,9 +375,10 @@
 
 TEST_CASE("entry processes of a large fleet let two of them read the store")
 {
-    // Each VM of a large fleet read each change of each upstream, and the calls cost a tenth of
-    // what the fleet earns. Now most are told. The readers die together just when an engine leaves
-    // and a key is taken away: the others must learn of both all the same.
+    // Guards against a large fleet in which every VM reads each change of each upstream; these
+    // calls cost a tenth of what the fleet earns. Two readers send the changes to the others
+    // instead. They die together just when an engine leaves and a key is removed, and the others
+    // must still learn of both.
     constexpr std::size_t nodes = 14;
     EntryWorld world(nodes);
     const auto count = [&](const std::string &text) {
@@ -433,7 +436,7 @@
     world.waitUntil("the request is under way", [&] { return runs(world) == 1; });
     world.node().m_process->send(SIGTERM);
     world.waitUntil("it says that it isn't ready", [&] { return !world.isReady(world.node()); });
-    // The balancer still sends new connections until it has asked twice.
+    // The balancer still sends new connections until it has checked twice.
     CHECK(world.call(world.node(), "/once/x", "r-2").m_status == 200);
     caller.join();
     CHECK(answer.m_body == "whole");
@@ -441,12 +444,12 @@
     CHECK(world.node().m_process->exitStatus() == 0);
 }
 
-// A buyer's program goes away while a long answer is written to it. On-call reads that the request
-// was done, though its answer never arrived.
+// Guards against a request that is logged as done although its answer never arrived. The caller
+// disconnects while a long answer is written to it.
 TEST_CASE("an answer that could not be written is not logged as done")
 {
     EntryWorld world;
-    // More than the kernel keeps for a connection on both its sides.
+    // More than the kernel buffers for a connection on both its sides.
     world.behave([](const HttpRequest &, HttpResponder &responder, const HttpHeaders &headers) {
         responder.send({200, headers, std::string(std::size_t{32} * 1024 * 1024, 'x')});
     });
@@ -466,8 +469,9 @@
     CHECK_FALSE(isLogged("\"event\":\"request-done\""));
 }
 
-// The balancer's last connection comes just before the process stops to accept, and its request a
-// moment later. No request was in flight in between: the process ended, and the caller got nothing.
+// Guards against a process that ends without answering the request of the balancer's last
+// connection. The connection arrives just before the process stops accepting and its request a
+// moment later; in between no request is in flight.
 TEST_CASE("an entry process waits for the request of the last connection")
 {
     EntryWorld world;
@@ -499,14 +503,15 @@
     CHECK_FALSE(world.node().m_process->exited());
 }
 
-// A VM is killed and starts again while callers go on: the first of them is read before the store
-// has answered the new process. He was sent away with a 503 and came back late.
+// Guards against a 503 for callers right after a restart. A VM is killed and starts again, and the
+// first requests are read before the store has answered the new process.
 TEST_CASE("an entry process keeps a caller until the store has told it what to do")
 {
     EntryWorld world;
     world.node().m_process->send(SIGKILL);
     world.waitUntil("it is gone", [&] { return world.node().m_process->exited(); });
-    // The store's first answers come later than the caller, and well within the time he is kept.
+    // The store's first answers arrive after the caller, and well within the time for which the
+    // caller is kept.
     world.store().delayListings(std::chrono::milliseconds(40));
     world.start(world.node());
     EntryAnswer answer;
@@ -520,7 +525,7 @@
     });
     const std::string log = world.wholeLog(world.node());
     INFO(log);
-    // A machine so busy that this takes longer than a caller is kept may have him sent away.
+    // On a machine so busy that this takes longer than a caller is kept, the caller may be refused.
     const double untilLearned = lastTimeOf(log, learned) - lastTimeOf(log, "\"event\":\"started\"");
     const bool isBusy = untilLearned > 0.09;
     CHECK((answer.m_status == 200 || isBusy));
--- a/tests/src/process-jobs.cpp
+++ b/tests/src/process-jobs.cpp
@@ -11,7 +11,7 @@
 
 constexpr int length = 200;
 
-/// An accepted draft of a quote that has begun to come.
+/// Starts a streamed answer; returns when its job was accepted and the first events have arrived.
 std::shared_ptr<AnswerStream> beginDraft(ProcessFleet &fleet, const Node &entry)
 {
     auto draft = fleet.ask(entry, "draft", length, "quote-draft");
@@ -24,7 +24,7 @@
     return draft;
 }
 
-/// Names the engine that generates the only answer under way.
+/// Returns the name of the engine that generates the only answer in progress.
 std::string runnerOf(ProcessFleet &fleet)
 {
     for (const std::string &engine : fleet.engines()) {
@@ -62,8 +62,8 @@
 
 } // namespace
 
-// A fitter's long draft streams from a runner whose VM the cloud takes back. The draft was
-// accepted, so it goes on elsewhere; the fitter reads every token once.
+// Guards against an accepted job that ends or repeats tokens when its runner's VM is reclaimed. The
+// job continues on another runner, and the caller reads every token once.
 TEST_CASE("the runner's VM is reclaimed while a job streams")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 20, 5});
@@ -75,9 +75,10 @@
     requireWhole(fleet, draft);
 }
 
-// The entry VM that holds the fitter's connection is taken back, with a notice. It hands the job
-// over and says where to go on; the fitter comes back through another entry VM with the last
-// event's id. The leaving process ends by itself and has cut nothing.
+// Guards against a job that is lost when the VM that holds the caller's connection is reclaimed
+// with a notice. The VM hands the job over and tells the caller where to continue; the caller
+// reconnects through another entry VM with the last event's id. The leaving process ends by itself
+// and cuts nothing.
 TEST_CASE("the entry VM is reclaimed while a job streams")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 20, 5});
@@ -92,8 +93,8 @@
     REQUIRE(entry.m_process->exitStatus() == 0);
 }
 
-// A whole data centre is taken back: both entry VMs and all runners there. The job goes on in
-// another data centre.
+// Guards against a job that is lost with its data centre: both entry VMs and all runners there are
+// reclaimed. The job continues in another data centre.
 TEST_CASE("the data centre is reclaimed while a job streams")
 {
     ProcessFleet fleet;
@@ -108,9 +109,9 @@
     requireHidden(fleet, fleet.node("node-c-1"), draft->job());
 }
 
-// The notice came, and the entry VM dies in the middle of its hand-over, sooner than announced. Its
-// job is in the log, or with another node already; after the platform's return, if it was out as
-// well, the job goes on and is read whole.
+// Guards against a job that is lost when its entry VM dies during its hand-over, before the
+// announced time. The job is already in the log or with another node. It continues, after the
+// platform's return if that was unavailable as well, and is read completely.
 TEST_CASE("the entry VM dies in the middle of its reclaim")
 {
     ProcessFleet fleet;
@@ -134,9 +135,9 @@
     requireHidden(fleet, fleet.node("node-c-1"), draft->job());
 }
 
-// The entry VM dies without a word. The job is in the platform's log: another node takes it over
-// and generates again what came after the last checkpoint. The caller cuts back where it is told
-// to.
+// Guards against a job that is lost when its entry VM dies without a notice. The job is in the
+// platform's log, so another node takes it over and generates again what followed the last
+// checkpoint. The caller discards what it read after the position that the node names.
 TEST_CASE("the entry VM dies without a notice")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 20, 5});
@@ -149,8 +150,9 @@
     requireHidden(fleet, fleet.node("node-b-2"), draft->job());
 }
 
-// The platform is out when the job is offered: a peer in another data centre holds it. Then the
-// entry VM is reclaimed, and the job goes on without the platform.
+// Guards against the loss of a job that was accepted while the platform is unavailable. A peer in
+// another data centre holds it; then the entry VM is reclaimed, and the job continues without the
+// platform.
 TEST_CASE("a job accepted in an outage survives a reclaim")
 {
     ProcessFleet fleet;
@@ -161,8 +163,8 @@
     requireWhole(fleet, draft);
 }
 
-// Guards against an end that says nothing of the answer's being provisional, and against one that
-// stays provisional.
+// Guards against an end marker that doesn't say that the answer is provisional, and against an
+// answer that stays provisional.
 TEST_CASE("an answer of an outage is provisional until the platform has it")
 {
     ProcessFleet fleet;
--- a/tests/src/process-leaving.cpp
+++ b/tests/src/process-leaving.cpp
@@ -23,7 +23,8 @@
     return fleet.standin(engine, "GET", "/admin/counters")["started"].get<int>();
 }
 
-/// Sends as many answers through each node as all engines have slots, and reads them whole.
+/// Sends as many requests through each node as all engines have slots, and reads the answers to
+/// their end.
 void askEverywhere(ProcessFleet &fleet, int each)
 {
     std::vector<std::shared_ptr<AnswerStream>> streams;
@@ -40,9 +41,9 @@
 
 } // namespace
 
-// The cloud announces that it takes a runner's VM back, or an operator takes the runner out. From
-// when the entry VMs know of it, none of them sends it another request, however busy the others
-// are; what runs there ends properly.
+// Guards against new requests at a runner that leaves, because the cloud announces the reclaim of
+// its VM or an operator removes it. Once the entry VMs know, none of them sends it another request,
+// however busy the other runners are. What runs there ends properly.
 TEST_CASE("a leaving upstream gets no new request")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 20, 5});
@@ -50,7 +51,7 @@
     INFO("by notice: " << isNotice);
     const std::string engine = "gpu-a-1";
     const std::string upstream = "up-" + engine;
-    // More at once would be rejected by their deadline.
+    // More at once would be rejected because of their deadline.
     constexpr std::size_t mostAsked = 10;
     std::vector<std::shared_ptr<AnswerStream>> before;
     fleet.waitUntil("it serves an answer", [&] {
--- a/tests/src/process-once.cpp
+++ b/tests/src/process-once.cpp
@@ -21,9 +21,9 @@
     return answers;
 }
 
-/// Sends the same key through all nodes until all say that it is done. An outcome is written to the
-/// platform behind the answer, so that another node may say "unknown" for a moment; never "not run"
-/// any more once one node has said "done".
+/// Sends the same key through all nodes until all answer that it is done. An outcome is written to
+/// the platform after the answer, so that another node may answer "unknown" for a moment, but never
+/// "not run" once one node has answered "done".
 void waitForDone(ProcessFleet &fleet, const std::string &key)
 {
     bool isDone = false;
@@ -57,10 +57,9 @@
 
 } // namespace
 
-// A phone order books stock through an entry VM; the service fails before it reads, after it ran,
-// falls silent, or refuses. The caller, told the outcome or told nothing, sends the same key again
-// through every entry VM of every data centre. The service's own counter is the judge: what was
-// said not to have run has not, and nothing ever runs twice.
+// Guards against a request that runs twice, or is reported as not run although it ran. The service
+// fails before it reads, fails after it ran, falls silent, or refuses. The caller then sends the
+// same key through every entry VM of every data centre. The service's own counter decides what ran.
 TEST_CASE("service faults never double a request")
 {
     ProcessFleet fleet;
@@ -94,9 +93,9 @@
     REQUIRE(fleet.runs("unkeyed") == ranUnkeyed);
 }
 
-// The entry VM that took an order dies between its claim and the service's answer. The caller lost
-// its connection and asks again everywhere: nobody can know, so everybody says "unknown", and the
-// order that ran once does not run again.
+// Guards against a second run when the entry VM dies between its claim and the service's answer.
+// The caller asks again everywhere. Nobody can know the outcome, so all nodes answer "unknown", and
+// the request does not run again.
 TEST_CASE("the entry VM dies between claim and answer")
 {
     ProcessFleet fleet({{"zone-a", "zone-b", "zone-c"}, 5, 2000});
@@ -116,9 +115,9 @@
     REQUIRE(fleet.runs("k") == 1);
 }
 
-// The entry VM is paused, by a live migration, with an order in its hands. Others are asked for the
-// same key meanwhile. When it wakes up it must not run what others were asked for, nor may they
-// have.
+// Guards against two runs of a request when an entry VM is paused by a live migration while it
+// handles the request, and other VMs are asked for the same key meanwhile. At most one of them may
+// run it.
 TEST_CASE("a paused entry VM and a resubmission do not both run")
 {
     ProcessFleet fleet({{"zone-a", "zone-b", "zone-c"}, 5, 300});
@@ -134,7 +133,7 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
     entry.m_process->send(SIGSTOP);
-    // Longer than the others need to suspect the node, and than the profile's deadline.
+    // Longer than the others need to suspect the node, and longer than the profile's deadline.
     const auto wakeAt = std::chrono::steady_clock::now() + std::chrono::seconds(10);
     std::map<std::string, std::vector<std::string>> said;
     while (std::chrono::steady_clock::now() < wakeAt) {
@@ -161,9 +160,9 @@
     }
 }
 
-// The platform is out. A keyed request can't be claimed, so it is refused as not run, with a time
-// to come back; one without a key needs no claim and goes on. After the outage the same key is
-// free.
+// Guards against running a keyed request without a claim while the platform is unavailable. It is
+// refused as not run, with a time to retry; a request without a key needs no claim and is served.
+// After the outage the same key is free.
 TEST_CASE("an outage of the platform refuses keyed requests only")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 5, 5});
@@ -188,8 +187,8 @@
     REQUIRE(fleet.runs("out") == 1);
 }
 
-// The platform creates the claim, but its answer is lost on the way. The entry VM must not take its
-// own claim for another's, nor run without one.
+// Guards against an entry VM that takes its own claim for another node's, or runs without a claim,
+// because the platform created the claim but its answer was lost.
 TEST_CASE("lost answers to claims are settled")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 5, 5});
--- a/tests/src/process-serving.cpp
+++ b/tests/src/process-serving.cpp
@@ -25,9 +25,9 @@
 
 } // namespace
 
-// Callers come through any entry VM. Whole answers arrive as the engines gave them, plain requests
-// run, and what must be refused is refused with a name and a number, without telling a stranger
-// anything about the system.
+// Guards against entry VMs that differ in what they serve or refuse. Complete answers arrive as the
+// engines gave them, plain requests run, and refusals carry a name and a number and reveal nothing
+// about the system to callers without a valid credential.
 TEST_CASE("a fleet serves callers and refuses what it must")
 {
     ProcessFleet fleet;
@@ -46,7 +46,7 @@
     }
     const Node &entry = fleet.node(0);
 
-    // A wrong credential gets nothing, neither for what exists nor for what doesn't.
+    // A wrong credential gets nothing, whether the target exists or not.
     const Answer stranger =
             fleet.call(entry.m_callerPort, "POST", chatPath, caller("wrong"), chat("hello"));
     REQUIRE(stranger.m_status == 401);
@@ -70,7 +70,8 @@
     REQUIRE(oversized.m_status == 413);
     REQUIRE(oversized.json()["error"]["id"].get<int>() > 0);
 
-    // A job is its member's alone: to another one it looks like none, on every node.
+    // A job is visible to its own member only: to another one it looks like an unknown job, on
+    // every node.
     const auto job = fleet.ask(entry, "quote", 60, "quote-draft");
     fleet.readToEnd({entry.m_name}, job);
     REQUIRE(job->text() == expectedAnswer("quote", 60, 60));
--- a/tests/src/process-shutdown-last.cpp
+++ b/tests/src/process-shutdown-last.cpp
@@ -8,10 +8,9 @@
 using namespace gypsumdale;
 using namespace gypsumdale::testing;
 
-// An operator replaces an entry VM that has nothing to do at that moment. The balancer's last
-// connection is taken just before the process stops to accept; its request comes while the process
-// ends, as it counts requests and no connections, and the buyer gets neither an answer nor a
-// refusal.
+// Guards against a caller that gets neither an answer nor a refusal when an idle entry VM is
+// stopped. The balancer's last connection is accepted just before the process stops accepting, and
+// its request arrives while the process ends, as it counts requests but no connections.
 TEST_CASE("a planned stop waits for the request of the last connection")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 5, 20});
--- a/tests/src/process-shutdown.cpp
+++ b/tests/src/process-shutdown.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// A caller behind a balancer: it sends to the first node whose check passes, and counts a refused
-/// connection as not sent. Returns the last answer.
+/// Sends a request as a caller behind a balancer does: to the first node whose check passes. A
+/// refused connection counts as not sent. Returns the last answer.
 Answer lookUpBalanced(ProcessFleet &fleet, std::size_t turn, const std::string &businessKey)
 {
     const std::size_t count = fleet.nodes().size();
@@ -31,9 +31,9 @@
 
 } // namespace
 
-// An operator replaces an entry VM: SIGTERM comes while answers stream to callers, one of them of a
-// plain service that is slow. The balancer must see the node as not ready before it refuses
-// anybody, and everybody who is being served is served to the end.
+// Guards against answers that are cut by a planned stop. SIGTERM arrives while answers are
+// streamed, one of them by a slow plain service. The balancer must see the node as not ready before
+// the node refuses anybody, and every request in progress is served to its end.
 TEST_CASE("a planned stop cuts nothing")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 20, 1500});
@@ -73,8 +73,8 @@
     }
 }
 
-// All entry VMs are upgraded one after another while callers go on. None of them may get an error,
-// and no request may run twice, although each node is gone for a while.
+// Guards against errors and duplicate runs during a rolling restart: all entry VMs are restarted
+// one after another while callers continue to send.
 TEST_CASE("a rolling restart loses no request and doubles none")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 5, 20});
--- a/tests/src/process-silent-peer.cpp
+++ b/tests/src/process-silent-peer.cpp
@@ -11,9 +11,9 @@
 
 } // namespace
 
-// One of the two entry VMs of a data centre vanishes without a word: its host neither answers nor
-// refuses, so that nothing proves it gone. An operator changes a profile. The neighbour waited for
-// the vanished node's word on the new version and would never have put it in force.
+// Guards against a change that is never put in force because a peer has vanished. One of the two
+// entry VMs of a data centre neither answers nor refuses, so that nothing proves it gone. The other
+// one must not wait for its report on the new version permanently.
 TEST_CASE("a neighbour that went silent does not hold changes back")
 {
     ProcessFleet fleet({{"zone-a", "zone-b"}, 5, 5});
--- a/tests/support/entry_stand_ins.hpp
+++ b/tests/support/entry_stand_ins.hpp
@@ -23,7 +23,7 @@
 using Json = nlohmann::json;
 
 /// Small stand-in for the user platform's store: objects by kind with conditional updates and
-/// watches. It can be told to answer nobody. All calls are made on the loop's thread.
+/// watches. It can be set to refuse all callers. All calls are made on the loop's thread.
 class StoreStandIn
 {
 public:
