--- a/include/gypsumdale/runtime/call_term.hpp
+++ b/include/gypsumdale/runtime/call_term.hpp
@@ -10,9 +10,9 @@
 class TermWatch;
 }
 
-/// Says until when a call's request may reach the other side. It is asked again before the first
-/// byte is handed over and while bytes may still be under way, so that it may move meanwhile. Used
-/// on the thread of the client's loop.
+/// Delivery deadline of a call: the time after which its request must no longer reach the other
+/// side. It is queried before the first byte is written and while bytes may still be in transit, so
+/// it may change during the call. Used on the thread of the client's loop.
 class CallTerm
 {
 public:
@@ -21,14 +21,15 @@
     CallTerm(const CallTerm &) = delete;
     CallTerm &operator=(const CallTerm &) = delete;
 
-    /// Returns what is left of the term; nothing or less where it is over.
+    /// Returns the time until the deadline; zero or negative once it has passed.
     virtual Duration left() const = 0;
-    /// Tells whether the first byte may be handed over on a connection that took so long to open.
+    /// Returns whether the first byte may be written on a connection that took `connecting` to
+    /// open.
     virtual bool maySend(Duration connecting) const = 0;
 
 protected:
-    /// Has the call look at the term at once, as less is left of it than was. Ends a call that is
-    /// still connecting and may not send any more.
+    /// Makes the call check the deadline at once, because it moved to an earlier time. Ends a call
+    /// that is still connecting and may no longer send.
     void noteShortened();
 
 private:
--- a/include/gypsumdale/runtime/fiber_loop.hpp
+++ b/include/gypsumdale/runtime/fiber_loop.hpp
@@ -15,8 +15,9 @@
 
 namespace gypsumdale {
 
-/// One thread that runs fibers over an event loop. Fibers of a loop never run at the same time, so
-/// what belongs to one loop needs no lock; other threads hand it work through spawn() and call().
+/// A thread that runs fibers over an event loop. Fibers of one loop never run at the same time, so
+/// state that belongs to one loop needs no lock. Other threads pass work to it through spawn() and
+/// call().
 class FiberLoop
 {
 public:
@@ -29,28 +30,28 @@
     /// Starts the thread. Call once.
     void start();
 
-    /// Stops the thread: no further fiber is started, fibers that wait are abandoned, and the
-    /// sockets of the loop's servers and clients are closed. Returns when no fiber runs any more.
-    /// Not to be called from the loop itself.
+    /// Stops the thread: starts no further fibers, abandons fibers that wait, and closes the
+    /// sockets of the loop's servers and clients. Returns when no fiber runs any more. Must not be
+    /// called from the loop itself.
     void stop();
 
-    /// Starts a fiber on this loop that runs the work, which must not throw. Fibers of a loop are
-    /// started in no other way, as stop() waits for those it doesn't know of. Safe from any thread;
-    /// constant.
+    /// Starts a fiber on this loop that runs the work, which must not throw. Fibers of a loop must
+    /// be started only here, because stop() waits for fibers that it does not know of. Safe from
+    /// any thread. Complexity: constant.
     void spawn(std::function<void()> work);
 
-    /// Runs the work in a fiber of this loop, waits for it (suspending the calling fiber, or
-    /// blocking a thread that has none) and returns what it returned. The work must not throw.
+    /// Runs the work in a fiber of this loop, waits for it and returns its result. Waiting suspends
+    /// the calling fiber, or blocks a thread that runs no fibers. The work must not throw.
     template <typename Work>
     auto call(Work work) -> std::invoke_result_t<Work>;
 
-    /// Tells whether the caller runs on this loop's thread.
+    /// Returns whether the caller runs on this loop's thread.
     bool isCurrent() const;
 
     /// Returns the event loop, for sockets and timers that live on this thread.
     boost::asio::io_context &context();
 
-    /// Returns the processor time that the loop's thread has spent so far.
+    /// Returns the processor time that the loop's thread has used so far.
     Duration processorTime() const;
 
 private:
@@ -58,7 +59,7 @@
     std::unique_ptr<State> m_state;
 };
 
-/// Suspends the calling fiber of a FiberLoop for a time; other fibers of the loop run on.
+/// Suspends the calling fiber of a FiberLoop for the duration; other fibers of the loop continue.
 void sleepFiber(Duration duration);
 
 template <typename Work>
--- a/include/gypsumdale/runtime/frame_channel.hpp
+++ b/include/gypsumdale/runtime/frame_channel.hpp
@@ -14,7 +14,7 @@
 
 namespace gypsumdale {
 
-/// Counts what peers' frames cost, for the control budget.
+/// Counts the frames and bytes exchanged with peers, for the control budget.
 struct FrameTraffic
 {
     std::uint64_t m_framesSent = 0;
@@ -32,10 +32,10 @@
     }
 };
 
-/// What a frame is answered with; an empty one closes the connection.
+/// Answer to a frame; an empty one closes the connection.
 struct FrameAnswer
 {
-    /// Not explicit, so that handlers may return just the bytes.
+    /// Not explicit, so that handlers can return the bytes alone.
     FrameAnswer(std::string bytes)
         : m_bytes(std::move(bytes))
     {}
@@ -45,30 +45,30 @@
     {}
 
     std::string m_bytes;
-    /// Of an answer that is the last on its connection: let go once the peer has closed that, or
-    /// has taken nothing for so long that it won't.
+    /// Set for the last answer on a connection; null otherwise. Released once the peer has closed
+    /// the connection, or has accepted nothing for so long that it counts as gone.
     std::shared_ptr<void> m_held;
 };
 
 /// Answers one frame from a peer with one frame. Runs in a fiber of the server's loop.
 using FrameHandler = std::function<FrameAnswer(std::string frame)>;
 
-/// What ends an exchange.
+/// Time limits of an exchange.
 struct ExchangeLimits
 {
-    /// Nothing was sent or came for so long.
+    /// Longest time in which nothing is sent or received.
     Duration m_silence{};
-    /// It took so long in all.
+    /// Longest total time.
     Duration m_total{};
 };
 
-/// Accepts connections from peers and answers their frames in the order they come. A frame is a
-/// length of four bytes, big-endian, and that many bytes; longer ones than the limit close the
-/// connection.
+/// Accepts connections from peers and answers their frames in the order of arrival. A frame is a
+/// big-endian length of four bytes, followed by that many bytes; a frame longer than the limit
+/// closes the connection.
 class FrameServer
 {
 public:
-    /// Opens the socket and begins to accept on the loop. Fails with AddressInUse.
+    /// Opens the socket and starts accepting on the loop. Fails with AddressInUse.
     static Result<FrameServer> listen(FiberLoop &loop, const Endpoint &endpoint,
                                       FrameHandler handler, std::size_t maxFrameBytes);
     ~FrameServer();
@@ -84,8 +84,8 @@
     std::shared_ptr<State> m_state;
 };
 
-/// Sends frames to one peer over one connection, opened when first needed and again after a
-/// failure. Used from fibers of one loop; calls wait their turn.
+/// Sends frames to one peer over one connection, which is opened on first use and again after a
+/// failure. Used from fibers of one loop; concurrent calls run one after another.
 class FrameChannel
 {
 public:
@@ -95,10 +95,11 @@
     FrameChannel &operator=(const FrameChannel &) = delete;
 
     /// Sends a frame and returns the answer. A failure or a timeout resets the connection, so that
-    /// neither a late answer can be taken for the next one's nor a frame that was given up takes
-    /// room on the way of later ones. The time covers waiting, connecting, sending and the answer.
+    /// a late answer can't be taken for the next frame's, and an abandoned frame doesn't delay
+    /// later ones. The timeout covers waiting for earlier calls, connecting, sending and receiving
+    /// the answer.
     Result<std::string> exchange(const std::string &frame, Duration timeout);
-    /// The same for an answer that may take long but makes progress.
+    /// As above, for an answer that may take long but makes progress.
     Result<std::string> exchange(const std::string &frame, const ExchangeLimits &limits);
 
     FrameTraffic traffic() const;
--- a/include/gypsumdale/runtime/http_client.hpp
+++ b/include/gypsumdale/runtime/http_client.hpp
@@ -21,7 +21,7 @@
 class Stream;
 }
 
-/// Where a server listens, by IP number.
+/// Address of a server: an IP address and a port.
 struct Endpoint
 {
     std::string m_address;
@@ -34,34 +34,35 @@
     }
 };
 
-/// How far a call got before it failed. Only NothingSent allows the claim that the request was not
-/// run: from the first byte handed to the kernel on, the other side may have read it, however the
-/// connection behaved afterwards.
+/// Progress of a call before it failed. Only NothingSent proves that the request was not run: once
+/// the first byte is passed to the kernel, the other side may have read it, whatever the connection
+/// did afterwards.
 enum class SendPhase {
     NothingSent,
     MayHaveBeenRead,
     AnswerBegun,
 };
 
-/// Why a call has no whole answer.
+/// Reason why a call has no complete answer.
 struct CallFailure
 {
     Error m_error;
     SendPhase m_phase = SendPhase::NothingSent;
-    /// Bytes of the request that the other side had not acknowledged as its term ended.
+    /// Bytes of the request that the other side had not acknowledged when its delivery deadline
+    /// passed.
     std::size_t m_unacknowledged = 0;
 };
 
 template <typename T>
 using CallResult = std::variant<T, CallFailure>;
 
-/// Lets a fiber give up a call that another fiber of the same loop waits in, from before its
-/// connection is open until its end.
+/// Cancels a call from another fiber of the same loop, from before its connection is open until its
+/// end.
 class CallCancellation
 {
 public:
-    /// Resets the call's connection, so that what is still under way of the request doesn't arrive;
-    /// what waits on it returns with Cancelled. Calls made with it later fail at once.
+    /// Resets the call's connection, so that request bytes still in transit don't arrive; the fiber
+    /// that waits for the call gets Cancelled. Later calls made with this object fail at once.
     void cancel();
     bool isCancelled() const { return m_isCancelled; }
 
@@ -79,33 +80,34 @@
     std::string m_target = "/";
     HttpHeaders m_headers;
     std::string m_body;
-    /// Time to connect.
+    /// Time limit for connecting.
     Duration m_connectTimeout = std::chrono::milliseconds(500);
-    /// Time from the request's last byte to the answer's header.
+    /// Time limit from the last byte of the request to the header of the answer.
     Duration m_headerTimeout = std::chrono::seconds(30);
-    /// Longest silence between two pieces of the body.
+    /// Longest time between two pieces of the body.
     Duration m_silenceTimeout = std::chrono::seconds(30);
-    /// Opens a connection of its own and never takes a pooled one, which may have gone silent while
-    /// it idled. Required for requests that must not run twice.
+    /// Opens a new connection instead of taking a pooled one, which may have failed silently while
+    /// it was idle. Required for requests that must not run twice.
     bool m_freshConnection = false;
-    /// Closes the connection after the answer instead of keeping it for another call.
+    /// Closes the connection after the answer instead of returning it to the pool.
     bool m_closeAfter = false;
-    /// Takes an answer with neither length nor chunks as whole if its connection was closed in
-    /// order; one that was reset is truncated all the same. Only for callers that can tell a whole
-    /// answer by other means, or whose upstreams reset what they break off.
+    /// Accepts an answer with neither a length nor chunks as complete if its connection was closed
+    /// in order; one whose connection was reset is truncated all the same. Only for callers that
+    /// can recognise a complete answer by other means, or whose upstreams reset the connection when
+    /// they abort an answer.
     bool m_acceptsUnframed = false;
-    /// Gives the call up from another fiber; may be null.
+    /// Cancels the call from another fiber; may be null.
     std::shared_ptr<CallCancellation> m_cancellation;
-    /// Until when the request may reach the other side; null where it may at any time.
+    /// Delivery deadline of the request; null if there is none.
     std::shared_ptr<CallTerm> m_term;
-    /// Bounds the answer of HttpClient::call(), which holds it whole; open() passes pieces on and
-    /// has no bound.
+    /// Size limit of the answer of HttpClient::call(), which buffers it completely; open() passes
+    /// pieces on and has no limit.
     std::size_t m_maxBodyBytes = std::size_t{8} * 1024 * 1024;
 };
 
-/// An answer that is being read piece by piece. Destroying it before the end resets the connection,
-/// which tells the other side to cancel. All calls are made from fibers of the client's loop, but
-/// cancel() may be called from another fiber of the same loop while one waits in read().
+/// An answer that is read piece by piece. Destroying it before the end resets the connection, which
+/// makes the other side cancel. All calls are made from fibers of the client's loop; cancel() may
+/// be called from another fiber of the same loop while one waits in read().
 class HttpExchange
 {
 public:
@@ -116,13 +118,14 @@
     int status() const;
     const HttpHeaders &headers() const;
 
-    /// Returns the next piece of the body as soon as there is one, or nothing at the proper end. A
+    /// Returns the next piece of the body as soon as it arrives, or nothing at the proper end. A
     /// connection that closes before the end of the message is a failure (AnswerTruncated), never
-    /// an end, also for a body with neither length nor chunks, whose end can't be told from a cut;
-    /// silence past the limit is UpstreamSilent; after cancel() it is Cancelled.
+    /// an end. This includes a body with neither a length nor chunks, as its end can't be
+    /// distinguished from a truncation. Fails with UpstreamSilent if nothing arrives within the
+    /// limit, and with Cancelled after cancel().
     CallResult<std::optional<std::string>> read();
 
-    /// As read(), with a limit of its own on the silence.
+    /// As read(), with its own limit on the time without data.
     CallResult<std::optional<std::string>> read(Duration silenceTimeout);
 
     /// Resets the connection; a fiber that waits in read() returns at once with Cancelled.
@@ -135,8 +138,8 @@
     std::unique_ptr<State> m_state;
 };
 
-/// Calls HTTP servers from the fibers of one loop. Keeps connections for reuse; a pooled connection
-/// that proves closed before any byte of the answer is not retried by the client itself.
+/// Calls HTTP servers from the fibers of one loop. Keeps connections for reuse. The client itself
+/// doesn't retry a call whose pooled connection proves closed before any byte of the answer.
 class HttpClient
 {
 public:
@@ -145,18 +148,19 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// Sends a request and returns once the answer's header has come. Fails with Timeout or
-    /// UpstreamUnreachable where no connection came about, UpstreamSilent past the header's time,
-    /// ConnectionClosed where the connection ended before the answer, AnswerTruncated within its
-    /// header, UpstreamFailed for what is no HTTP, and TermOver where the call's term ended before
-    /// the first byte was handed over (NothingSent) or before all of them were acknowledged.
+    /// Sends a request and returns once the header of the answer has arrived. Fails with Timeout or
+    /// UpstreamUnreachable if no connection could be opened, UpstreamSilent if the header did not
+    /// arrive in time, ConnectionClosed if the connection ended before the answer, AnswerTruncated
+    /// if it ended within the header, UpstreamFailed if the answer is not HTTP, and TermOver if the
+    /// delivery deadline passed before the first byte was written (NothingSent) or before all bytes
+    /// were acknowledged.
     CallResult<HttpExchange> open(const HttpCall &call);
 
-    /// Sends a request and returns the whole answer.
+    /// Sends a request and returns the complete answer.
     CallResult<HttpReply> call(const HttpCall &call);
 
-    /// Closes all pooled connections to an endpoint, after one of them proved silent. Linear in
-    /// them.
+    /// Closes all pooled connections to an endpoint, after one of them stopped responding.
+    /// Complexity: linear in their number.
     void forget(const Endpoint &endpoint);
 
 private:
--- a/include/gypsumdale/runtime/http_message.hpp
+++ b/include/gypsumdale/runtime/http_message.hpp
@@ -8,14 +8,14 @@
 
 namespace gypsumdale {
 
-/// Header fields in the order they came. Names compare without regard to case.
+/// Header fields in order of arrival. Names are compared case-insensitively.
 class HttpHeaders
 {
 public:
     void add(std::string name, std::string value);
-    /// Returns the first value of that name, or nothing. Linear.
+    /// Returns the first value of that name, or nothing. Complexity: linear.
     std::optional<std::string_view> find(std::string_view name) const;
-    /// Returns the first value of that name, or an empty text. Linear.
+    /// Returns the first value of that name, or an empty string. Complexity: linear.
     std::string_view value(std::string_view name) const;
     const std::vector<std::pair<std::string, std::string>> &fields() const { return m_fields; }
 
@@ -23,8 +23,8 @@
     std::vector<std::pair<std::string, std::string>> m_fields;
 };
 
-/// A request as the server received it, body whole. The target keeps its query, as in
-/// "/v1/jobs/7?offset=3".
+/// A request as the server received it, with its complete body. The target includes the query, as
+/// in "/v1/jobs/7?offset=3".
 struct HttpRequest
 {
     std::string m_method;
@@ -33,13 +33,13 @@
     std::string m_body;
     std::string m_remoteAddress;
 
-    /// Returns the target without its query. Linear.
+    /// Returns the target without its query. Complexity: linear.
     std::string_view path() const;
-    /// Returns one decoded parameter of the query, or nothing. Linear.
+    /// Returns one decoded parameter of the query, or nothing. Complexity: linear.
     std::optional<std::string> parameter(std::string_view name) const;
 };
 
-/// A whole answer.
+/// A complete answer.
 struct HttpReply
 {
     int m_status = 200;
--- a/include/gypsumdale/runtime/http_server.hpp
+++ b/include/gypsumdale/runtime/http_server.hpp
@@ -16,114 +16,114 @@
 namespace gypsumdale {
 
 /// Writes the answer to one request, from the fiber that handles it. Each call suspends the fiber
-/// until the bytes are with the kernel, so a slow caller slows its own answer only.
+/// until the kernel has accepted the bytes, so a slow caller delays only its own answer.
 class HttpResponder
 {
 public:
     virtual ~HttpResponder() = default;
 
-    /// Sends a whole answer. Returns false if the caller has gone.
+    /// Sends a complete answer. Returns false if the caller is gone.
     virtual bool send(const HttpReply &reply) = 0;
 
-    /// Begins a streamed (chunked) answer. Returns false if the caller has gone.
+    /// Begins a streamed (chunked) answer. Returns false if the caller is gone.
     virtual bool begin(int status, const HttpHeaders &headers) = 0;
 
-    /// Sends one chunk of a streamed answer at once. Returns false if the caller has gone.
+    /// Sends one chunk of a streamed answer at once. Returns false if the caller is gone.
     virtual bool write(std::string_view chunk) = 0;
 
-    /// Ends a streamed answer. A stream that is never finished is cut, so that its reader sees a
-    /// truncated body and no false end. Returns false if the caller has gone.
+    /// Ends a streamed answer. The connection of a stream that is never finished is closed, so that
+    /// its reader sees a truncated body and no false end. Returns false if the caller is gone.
     virtual bool finish() = 0;
 
-    /// Takes back a streamed answer of which no byte is out, as it is collected for a caller that
-    /// can't read chunks; another may be sent in its place. Returns false if it is too late.
+    /// Discards a streamed answer of which no byte was sent, because it is buffered for a caller
+    /// that can't read chunks; another answer may be sent instead. Returns false if it is too late.
     virtual bool takeBack() { return false; }
 
-    /// Closes the connection without a further byte, as the end of the process would. The stand-ins
-    /// cause failures with it. Does nothing where an answer has no connection of its own.
+    /// Closes the connection without sending anything more, as the end of the process would. The
+    /// stand-ins use it to cause failures. Does nothing if the answer has no connection of its own.
     virtual void abandon() {}
 
-    /// Tells whether the caller has closed its connection, as far as is known. The end of the
-    /// caller's sending counts as gone: HTTP callers do not shut down one direction only, and to
-    /// wait for a reset would let work go on for nobody. Constant.
+    /// Returns whether the caller is known to have closed its connection. A caller that shut down
+    /// its sending side counts as gone: HTTP callers do not shut down one direction only, and
+    /// waiting for a reset would let work continue for nobody. Complexity: constant.
     virtual bool callerGone() const = 0;
 
-    /// Registers what to do, on the loop's thread, when the caller closes its connection while the
-    /// answer is still owed; at once if it has. Used to cancel work upstream. The action runs
-    /// within the event loop and must not suspend. Not called where a write finds out first, as
-    /// that returns false. Pass nullptr to unregister.
+    /// Registers an action that runs on the loop's thread when the caller closes its connection
+    /// before the answer is finished, or at once if it already has. Used to cancel work upstream.
+    /// The action runs within the event loop and must not suspend. It is not called if a write
+    /// detects the closure first, as that write returns false. Pass nullptr to unregister.
     virtual void onCallerGone(std::function<void()> action) = 0;
 };
 
 using HttpHandler = std::function<void(const HttpRequest &, HttpResponder &)>;
 
-/// Bounds on what a caller may send and how slowly.
+/// Limits on the size and duration of a caller's requests.
 struct HttpLimits
 {
     std::size_t m_headerBytes = std::size_t{16} * 1024;
     std::size_t m_bodyBytes = std::size_t{1024} * 1024;
     std::size_t m_connections = 4096;
-    /// Time for one request to arrive whole, from its first byte.
+    /// Time limit for one request to arrive completely, from its first byte.
     Duration m_readTimeout = std::chrono::seconds(15);
-    /// Time a kept-alive connection may idle between requests.
+    /// Time limit for a kept-alive connection to stay idle between requests.
     Duration m_idleTimeout = std::chrono::seconds(60);
-    /// Time for one write to be taken by the caller's side.
+    /// Time limit for the caller's side to accept a write.
     Duration m_writeTimeout = std::chrono::seconds(30);
 };
 
-/// Counts the bytes of messages that a server took in and sent.
+/// Counts the bytes of messages that a server received and sent.
 struct HttpTraffic
 {
     std::uint64_t m_bytesReceived = 0;
     std::uint64_t m_bytesSent = 0;
 };
 
-/// An HTTP/1.1 server on one or several loops; each connection stays on one loop, and each request
-/// is handled by a fiber there. Malformed, oversized and slow requests are answered with 400, 413,
+/// An HTTP/1.1 server on one or more loops. Each connection stays on one loop, and a fiber there
+/// handles each of its requests. Malformed, oversized and slow requests are answered with 400, 413,
 /// 431 or 408 and a JSON error body without reaching the handler.
 class HttpServer
 {
 public:
-    /// Stops accepting and closes all connections. Handlers still running find their caller gone.
-    /// The loops must outlive the server.
+    /// Stops accepting and closes all connections. Handlers that still run see that their caller is
+    /// gone. The loops must outlive the server.
     ~HttpServer();
     HttpServer(HttpServer &&) noexcept;
     HttpServer &operator=(HttpServer &&) noexcept;
 
-    /// Returns the port in use, also where 0 was asked for.
+    /// Returns the port in use, also if port 0 was requested.
     std::uint16_t port() const;
 
-    /// Takes other limits for the requests to come. Safe from any thread.
+    /// Changes the limits for future requests. Safe from any thread.
     void limitTo(const HttpLimits &limits);
 
-    /// Says "Connection: close" on every answer from now on, while requests and new connections are
-    /// still taken: callers move away by themselves, and no request meets a closed door. Safe from
-    /// any thread.
+    /// Adds "Connection: close" to every answer from now on, while requests and new connections are
+    /// still accepted: callers reconnect elsewhere by themselves, and no request is refused. Safe
+    /// from any thread.
     void announceClose();
 
-    /// Closes the listening socket and idle connections; answers under way go on, each saying
+    /// Closes the listening socket and idle connections; answers in progress continue, each with
     /// "Connection: close". Connections that the kernel has completed but not handed over are
-    /// accepted first, and one that has brought no request yet is given a second for it. Safe from
-    /// any thread.
+    /// accepted first, and a connection that has sent no request yet is given a second to do so.
+    /// Safe from any thread.
     void stopAccepting();
 
-    /// Closes the connections whose answer is not finished; its handler finds the caller gone. Safe
-    /// from any thread.
+    /// Closes the connections whose answer is not finished; their handlers see that the caller is
+    /// gone. Safe from any thread.
     void cutAnswers();
 
-    /// Tells whether somebody is connected, or may be yet: until stopAccepting() has taken effect,
-    /// with what the kernel had completed until then. Safe from any thread.
+    /// Returns whether callers are connected or may still be: true until stopAccepting() has taken
+    /// effect and the connections that the kernel had completed by then are closed. Safe from any
+    /// thread.
     bool hasCallers() const;
 
     /// Returns the number of requests whose answer is not finished. Safe from any thread.
     std::size_t requestsInFlight() const;
 
-    /// Returns the number of open connections, those included that were just accepted. Safe from
-    /// any thread.
+    /// Returns the number of open connections, including those just accepted. Safe from any thread.
     std::size_t connections() const;
 
-    /// Returns the bytes of requests read and of answers handed to the kernel, headers and parts of
-    /// what was cut included. Safe from any thread.
+    /// Returns the bytes of requests read and of answers passed to the kernel, including headers
+    /// and parts of interrupted messages. Safe from any thread.
     HttpTraffic traffic() const;
 
 private:
@@ -143,8 +143,8 @@
     HttpServerBuilder &handleWith(HttpHandler handler);
     HttpServerBuilder &limitTo(HttpLimits limits);
 
-    /// Opens the socket and begins to accept. The loops may be started before or after. Fails with
-    /// AddressInUse, leaving nothing open.
+    /// Opens the socket and starts accepting. The loops may be started before or after. Fails with
+    /// AddressInUse and then leaves nothing open.
     Result<HttpServer> build();
 
 private:
--- a/include/gypsumdale/runtime/http_status.hpp
+++ b/include/gypsumdale/runtime/http_status.hpp
@@ -2,7 +2,7 @@
 
 namespace gypsumdale {
 
-/// The statuses of HTTP that are sent or told apart here.
+/// HTTP status codes that this project sends or distinguishes.
 inline constexpr int statusOk = 200;
 inline constexpr int statusCreated = 201;
 inline constexpr int statusNoContent = 204;
--- a/include/gypsumdale/wire/thrift_codec.hpp
+++ b/include/gypsumdale/wire/thrift_codec.hpp
@@ -12,7 +12,7 @@
 
 namespace gypsumdale::wire {
 
-/// Writes a generated Thrift structure in the compact protocol. Linear in its size.
+/// Encodes a generated Thrift structure in the compact protocol. Complexity: linear in its size.
 template <typename Structure>
 std::string encode(const Structure &value)
 {
@@ -22,13 +22,14 @@
     return buffer->getBufferAsString();
 }
 
-/// Reads a structure back. Fails with PeerMalformed, and without allocating more than the input's
-/// size suggests, on bytes that are not one. Linear in the input.
+/// Decodes a structure. Fails with PeerMalformed on bytes that are not such a structure, and then
+/// allocates no more than the size of the input suggests. Complexity: linear in the size of the
+/// input.
 template <typename Structure>
 Result<Structure> decode(std::string_view bytes)
 {
     using apache::thrift::transport::TMemoryBuffer;
-    // TMemoryBuffer only observes the bytes; its interface lacks the const.
+    // TMemoryBuffer only reads the bytes, but its interface takes a non-const pointer.
     auto *start = reinterpret_cast<std::uint8_t *>(const_cast<char *>(bytes.data()));
     auto buffer = std::make_shared<TMemoryBuffer>(start, static_cast<std::uint32_t>(bytes.size()),
                                                   TMemoryBuffer::OBSERVE);
