--- a/include/gypsumdale/runtime/http_server.hpp
+++ b/include/gypsumdale/runtime/http_server.hpp
@@ -111,9 +111,9 @@
     /// gone. Safe from any thread.
     void cutAnswers();
 
-    /// Returns whether callers are connected or may still be: true until stopAccepting() has taken
-    /// effect and the connections that the kernel had completed by then are closed. Safe from any
-    /// thread.
+    /// Returns whether a connection is open or may still be accepted. The latter holds until
+    /// stopAccepting() has taken effect and the connections that the kernel had completed by then
+    /// are handed over. Safe from any thread.
     bool hasCallers() const;
 
     /// Returns the number of requests whose answer is not finished. Safe from any thread.
--- a/src/runtime/detail/async_wait.hpp
+++ b/src/runtime/detail/async_wait.hpp
@@ -9,9 +9,8 @@
 namespace gypsumdale::detail {
 
 /// Suspends a fiber until one asynchronous operation of its own loop has completed. The operation
-/// is started with handler(); the object must live until the handler has run, which wait() ensures.
-/// To give up early, cancel the operation or close its socket and wait for the handler all the
-/// same.
+/// is started with handler(). The object must live until the handler has run, which wait() ensures.
+/// To abort early, cancel the operation or close its socket, and still wait for the handler.
 class AsyncWait
 {
 public:
@@ -36,7 +35,7 @@
 
     Handler handler() { return Handler(this); }
 
-    /// Suspends the calling fiber until the handler has run; returns the operation's error.
+    /// Suspends the calling fiber until the handler has run; returns the error of the operation.
     boost::system::error_code wait()
     {
         while (!m_completed) {
--- a/src/runtime/detail/connection_pool.hpp
+++ b/src/runtime/detail/connection_pool.hpp
@@ -12,24 +12,28 @@
 
 namespace gypsumdale::detail {
 
-/// The idle connections of one client, by endpoint; used on its loop only. A connection that idled
-/// too long is never handed out, as something between the two ends may have lost track of it.
+/// The idle connections of one client, by endpoint; used on its loop only. A connection that was
+/// idle for too long is never handed out, because a middlebox on the path may have dropped its
+/// state.
 class ConnectionPool : public std::enable_shared_from_this<ConnectionPool>
 {
 public:
     explicit ConnectionPool(LoopCore &core);
 
-    /// Takes the connection that idled least, or nullptr. One that the other side has closed, or
-    /// has sent something on, is dropped. Linear in the dropped ones.
-    std::shared_ptr<Stream> take(const Endpoint &endpoint);
+    /// Returns the connection that was idle for the shortest time, or nullptr. Connections that the
+    /// other side has closed or sent data on are dropped. Complexity: linear in the number of
+    /// dropped ones.
+    std::shared_ptr<Stream> acquire(const Endpoint &endpoint);
 
-    /// Keeps a connection whose last message has ended cleanly. Logarithmic.
-    void keep(const Endpoint &endpoint, std::shared_ptr<Stream> stream);
+    /// Returns a connection to the pool after its last message has ended cleanly. Complexity:
+    /// logarithmic.
+    void release(const Endpoint &endpoint, std::shared_ptr<Stream> stream);
 
-    /// Closes all idle connections to an endpoint. Linear in them.
-    void forget(const Endpoint &endpoint);
+    /// Closes all idle connections to an endpoint. Complexity: linear in their number.
+    void closeAll(const Endpoint &endpoint);
 
-    /// Closes all idle connections; what is kept later is closed at once. Linear.
+    /// Closes all idle connections; connections released later are closed at once. Complexity:
+    /// linear.
     void close();
 
 private:
--- a/src/runtime/detail/fiber_scheduler.cpp
+++ b/src/runtime/detail/fiber_scheduler.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Fibers that run in a row before the event loop gets a turn.
-constexpr std::size_t picksBetweenPolls = 64;
+/// Number of fibers that run in a row before the event loop is polled.
+constexpr std::size_t maxPicksBetweenPolls = 64;
 
 } // namespace
 
@@ -25,7 +25,7 @@
 
 boost::fibers::context *FiberScheduler::pick_next() noexcept
 {
-    if (m_parkedMain && ++m_picksSincePoll > picksBetweenPolls) {
+    if (m_parkedMain && ++m_picksSincePoll > maxPicksBetweenPolls) {
         m_picksSincePoll = 0;
         return std::exchange(m_parkedMain, nullptr);
     }
@@ -44,8 +44,8 @@
 void FiberScheduler::suspend_until(const std::chrono::steady_clock::time_point &until) noexcept
 {
     m_picksSincePoll = 0;
-    // Moving the timer aborts its earlier wait, and the aborted handler wakes the loop once more;
-    // so it is moved only when the time is another one.
+    // Moving the timer aborts its earlier wait, and the aborted handler wakes the loop once more.
+    // Therefore the timer is moved only if the time differs.
     if (until != m_wakeUpAt) {
         m_wakeUpAt = until;
         m_wakeUp.expires_at(until);
@@ -57,7 +57,7 @@
 
 void FiberScheduler::notify() noexcept
 {
-    // One handler in the queue is enough to make run_one() return.
+    // One queued handler is enough to make run_one() return.
     if (m_notified.exchange(true))
         return;
     boost::asio::post(m_context, [this] { m_notified = false; });
--- a/src/runtime/detail/fiber_scheduler.hpp
+++ b/src/runtime/detail/fiber_scheduler.hpp
@@ -12,14 +12,14 @@
 
 namespace gypsumdale::detail {
 
-/// Round-robin scheduling of the fibers of one thread over an Asio event loop: where no fiber is
+/// Round-robin scheduling of the fibers of one thread over an Asio event loop: while no fiber is
 /// ready, the thread blocks in the event loop, whose handlers make fibers ready.
 ///
-/// Handlers never run inside pick_next(): a suspending fiber calls it while it still holds the
-/// spinlock of the promise it waits on, and a handler that fulfils that promise would spin for
-/// ever. Handlers run in suspend_until(), on the dispatcher's own context, and, so that fibers
-/// which keep each other busy can't starve the sockets, in poll() from the thread's main fiber,
-/// which pick_next() lets in every so often.
+/// Handlers never run inside pick_next(). A suspending fiber calls pick_next() while it still holds
+/// the spinlock of the promise it waits on, so a handler that fulfils that promise would spin
+/// forever. Handlers run in suspend_until(), on the dispatcher's own context, and in poll() on the
+/// thread's main fiber. pick_next() resumes the main fiber regularly, so that fibers that keep each
+/// other busy can't starve the sockets.
 class FiberScheduler : public boost::fibers::algo::algorithm
 {
 public:
@@ -31,9 +31,9 @@
     void suspend_until(const std::chrono::steady_clock::time_point &until) noexcept override;
     void notify() noexcept override;
 
-    /// Suspends the main fiber until its turn to poll has come or wakeMainFiber() was called.
+    /// Suspends the main fiber until it is due to poll or wakeMainFiber() is called.
     void parkMainFiber();
-    /// Lets the main fiber run. Called on the thread.
+    /// Makes the main fiber ready. Called on the loop's thread.
     void wakeMainFiber();
 
 private:
--- a/src/runtime/detail/fiber_stack.hpp
+++ b/src/runtime/detail/fiber_stack.hpp
@@ -11,19 +11,19 @@
 namespace gypsumdale::detail {
 
 #if defined(__SANITIZE_ADDRESS__)
-// Sanitized frames are several times as large. Stacks come from the heap there and are not reused:
-// the leak check looks for pointers in heap blocks only, and a reused stack would still be marked
-// as poisoned by the frames that its last fiber never returned from.
+// Sanitized frames are several times as large. With the sanitizer, stacks come from the heap and
+// are not reused: the leak check looks for pointers in heap blocks only, and a reused stack would
+// still be marked as poisoned by frames from which its previous fiber never returned.
 inline constexpr std::size_t fiberStackBytes = std::size_t{1024} * 1024;
 using FiberStack = boost::context::fixedsize_stack;
 #else
-/// Enough for HTTP and frame handlers with a wide margin (they were designed to use a few KiB);
-/// pages never touched cost no memory. All fibers of a loop use one size, so that stacks are
-/// interchangeable.
+/// Size of a fiber's stack: wide headroom for HTTP and frame handlers, which are designed to use a
+/// few KiB. Pages never touched cost no memory. All fibers of a loop use one size, so that stacks
+/// are interchangeable.
 inline constexpr std::size_t fiberStackBytes = std::size_t{128} * 1024;
 
-/// Hands out stacks with a guard page, and keeps freed ones for the next fiber, since mapping and
-/// unmapping one for each connection costs more than the fiber itself. Used on one thread.
+/// Allocates stacks with a guard page and keeps freed ones for the next fiber, because mapping and
+/// unmapping a stack for each connection costs more than the fiber itself. Used on one thread.
 class FiberStack
 {
 public:
@@ -52,12 +52,12 @@
 private:
     struct FreeList
     {
-        static constexpr std::size_t mostKept = 256;
+        static constexpr std::size_t maxFreeStacks = 256;
 
         explicit FreeList(std::size_t size)
             : m_source(size)
         {
-            m_stacks.reserve(mostKept);
+            m_stacks.reserve(maxFreeStacks);
         }
         ~FreeList()
         {
--- a/src/runtime/detail/frame_stream.cpp
+++ b/src/runtime/detail/frame_stream.cpp
@@ -12,21 +12,21 @@
 namespace asio = boost::asio;
 
 constexpr std::size_t prefixBytes = 4;
-/// Capacity that a connection keeps between frames.
-constexpr std::size_t keptCapacity = std::size_t{256} * 1024;
+/// Largest input capacity that a connection keeps between frames.
+constexpr std::size_t maxRetainedCapacity = std::size_t{256} * 1024;
 
 StreamStatus fillTo(Stream &stream, std::size_t size, const FrameLimits &limits)
 {
     while (stream.input().size() < size) {
-        const StreamStatus status = stream.fill(limits.nextPiece());
+        const StreamStatus status = stream.fill(limits.nextDeadline());
         if (status != StreamStatus::Good)
             return status;
     }
     return StreamStatus::Good;
 }
 
-/// Counts what came of a frame that will not be read further, as the connection is closed after it.
-StreamStatus countCut(Stream &stream, FrameCounters &counters, StreamStatus status)
+/// Counts the bytes of a frame that was received in part; the connection is closed afterwards.
+StreamStatus countPartialFrame(Stream &stream, FrameCounters &counters, StreamStatus status)
 {
     counters.m_bytesReceived += stream.input().size();
     return status;
@@ -45,18 +45,18 @@
     boost::beast::flat_buffer &input = stream.input();
     StreamStatus status = fillTo(stream, prefixBytes, limits);
     if (status != StreamStatus::Good)
-        return countCut(stream, counters, status);
+        return countPartialFrame(stream, counters, status);
     const std::size_t length =
             boost::endian::load_big_u32(static_cast<const unsigned char *>(input.data().data()));
     if (length > maxBytes)
         return FrameTooLong();
     status = fillTo(stream, prefixBytes + length, limits);
     if (status != StreamStatus::Good)
-        return countCut(stream, counters, status);
+        return countPartialFrame(stream, counters, status);
     const char *begin = static_cast<const char *>(input.data().data()) + prefixBytes;
     std::string frame(begin, length);
     input.consume(prefixBytes + length);
-    if (input.capacity() > keptCapacity)
+    if (input.capacity() > maxRetainedCapacity)
         input.shrink_to_fit();
     ++counters.m_framesReceived;
     counters.m_bytesReceived += prefixBytes + length;
--- a/src/runtime/detail/frame_stream.hpp
+++ b/src/runtime/detail/frame_stream.hpp
@@ -14,7 +14,7 @@
 
 namespace gypsumdale::detail {
 
-/// Counts frames; read from any thread.
+/// Counters of frames and bytes; readable from any thread.
 struct FrameCounters
 {
     FrameTraffic read() const;
@@ -25,23 +25,23 @@
     std::atomic<std::uint64_t> m_bytesReceived = 0;
 };
 
-/// A frame announced to be longer than allowed.
+/// A frame whose announced length exceeds the limit.
 struct FrameTooLong
 {};
 
 using FrameRead = std::variant<std::string, StreamStatus, FrameTooLong>;
 
-/// When a frame must be whole, and how long its connection may be silent until then.
+/// Deadline of a complete frame, and the longest time without data until then.
 struct FrameLimits
 {
     SteadyTime m_deadline;
     Duration m_silence = Duration::max();
 
-    /// Returns when the next piece must have come.
-    SteadyTime nextPiece() const { return std::min(m_deadline, deadlineAfter(m_silence)); }
+    /// Returns the time by which the next piece must have arrived.
+    SteadyTime nextDeadline() const { return std::min(m_deadline, deadlineAfter(m_silence)); }
 };
 
-/// Reads one frame whole. After anything but a frame the connection must be closed.
+/// Reads one complete frame. If the result is not a frame, the connection must be closed.
 FrameRead readFrame(Stream &stream, FrameCounters &counters, std::size_t maxBytes,
                     const FrameLimits &limits);
 
--- a/src/runtime/detail/http_connection.cpp
+++ b/src/runtime/detail/http_connection.cpp
@@ -19,8 +19,9 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-/// Time that a connection without a first request is left after the server stopped accepting.
-constexpr Duration lastChance = std::chrono::seconds(1);
+/// Time given to a connection to deliver a request that may be in transit when the connection would
+/// otherwise be closed.
+constexpr Duration finalReadGrace = std::chrono::seconds(1);
 
 constexpr std::string_view chunkEnd = "\r\n";
 constexpr std::string_view lastChunk = "0\r\n\r\n";
@@ -56,7 +57,7 @@
 
 void HttpConnection::serve()
 {
-    while (serveOne())
+    while (serveRequest())
         ++m_served;
 }
 
@@ -65,12 +66,12 @@
     if (!m_isIdle)
         return;
     if (m_served == 0)
-        m_stream->shortenDeadline(deadlineAfter(lastChance));
-    else if (m_stream->isQuietAndOpen())
+        m_stream->shortenDeadline(deadlineAfter(finalReadGrace));
+    else if (m_stream->isIdleAndOpen())
         m_stream->close();
 }
 
-bool HttpConnection::serveOne()
+bool HttpConnection::serveRequest()
 {
     if (!awaitFirstByte())
         return false;
@@ -89,29 +90,29 @@
     m_callerKeepsAlive = parser.keep_alive();
     m_callerReadsChunks = parser.version() >= 11;
     handle(request);
-    return m_answer == AnswerState::Complete && !m_saidClose && !m_callerGone;
+    return m_answer == AnswerState::Complete && !m_sentClose && !m_callerGone;
 }
 
-/// Waits for a request's first byte. Returns false if there will be none.
+/// Waits for the first byte of a request. Returns false if none will arrive.
 bool HttpConnection::awaitFirstByte()
 {
     if (m_stream->input().size() > 0)
         return true;
     const bool stopping = m_service.m_stopping;
-    // Guards, here and below, against closing over a request that has come and was not taken in
-    // yet: that resets the connection, and its caller gets no answer.
-    if (stopping && m_served > 0 && m_stream->isQuietAndOpen())
+    // Here and below, the connection is not closed while a request that has arrived is still
+    // unread: closing would reset the connection, and the caller would get no answer.
+    if (stopping && m_served > 0 && m_stream->isIdleAndOpen())
         return false;
-    const Duration limit = stopping ? lastChance : m_service.m_limits.m_idleTimeout;
+    const Duration limit = stopping ? finalReadGrace : m_service.m_limits.m_idleTimeout;
     m_isIdle = true;
     StreamStatus status = m_stream->fill(deadlineAfter(limit));
     m_isIdle = false;
-    if (status == StreamStatus::TimedOut && !m_stream->isQuietAndOpen())
-        status = m_stream->fill(deadlineAfter(lastChance));
+    if (status == StreamStatus::TimedOut && !m_stream->isIdleAndOpen())
+        status = m_stream->fill(deadlineAfter(finalReadGrace));
     return status == StreamStatus::Good;
 }
 
-/// Reads one request whole. On failure it has answered where an answer is due.
+/// Reads one complete request. On failure it has already sent an error answer if one is due.
 bool HttpConnection::readRequest(Parser &parser)
 {
     const SteadyTime deadline = deadlineAfter(m_service.m_limits.m_readTimeout);
@@ -163,21 +164,21 @@
     m_callerKeepsAlive = false;
     m_isHead = false;
     if (send(errorReply(status, id, message)))
-        m_stream->closeGently();
+        m_stream->closeGracefully();
 }
 
 void HttpConnection::handle(const HttpRequest &request)
 {
     m_answer = AnswerState::Owed;
-    m_saidClose = false;
+    m_sentClose = false;
     m_isAnswering = true;
     ++m_service.m_requestsInFlight;
-    m_stream->watch([this] { noteCallerGone(); });
+    m_stream->watch([this] { markCallerGone(); });
     try {
         m_service.m_handler(request, *this);
     } catch (const std::exception &) {
-        // Guards the other connections against a handler's mistake, which would end the process.
-        // The caller sees status 500 or a cut answer, never a false end.
+        // An exception from a handler must not end the process and with it all other connections.
+        // The caller sees status 500 or a truncated answer, never a false end.
     }
     m_onCallerGone = nullptr;
     if (m_answer == AnswerState::Owed)
@@ -187,7 +188,7 @@
     m_isAnswering = false;
 }
 
-void HttpConnection::noteCallerGone()
+void HttpConnection::markCallerGone()
 {
     m_callerGone = true;
     if (const std::function<void()> action = std::exchange(m_onCallerGone, nullptr))
@@ -198,7 +199,7 @@
 {
     m_onCallerGone = std::move(action);
     if (m_callerGone && m_onCallerGone)
-        noteCallerGone();
+        markCallerGone();
 }
 
 bool HttpConnection::send(const HttpReply &reply)
@@ -206,9 +207,9 @@
     if (m_answer != AnswerState::Owed)
         return false;
     m_answer = AnswerState::Complete;
-    m_saidClose = !keepsAlive();
+    m_sentClose = !keepsAlive();
     const std::string head = answerHead(reply.m_status, reply.m_headers,
-                                        BodyLength{reply.m_body.size()}, !m_saidClose);
+                                        BodyLength{reply.m_body.size()}, !m_sentClose);
     const bool hasBody = !m_isHead && !isBodyless(reply.m_status);
     std::array<asio::const_buffer, 2> buffers = {
             bufferOf(head), bufferOf(hasBody ? std::string_view(reply.m_body) : "")};
@@ -220,15 +221,15 @@
     if (m_answer != AnswerState::Owed)
         return false;
     if (!m_callerReadsChunks) {
-        // Without chunks a cut answer would look like a whole one, so a caller of HTTP/1.0 gets the
-        // answer in one piece with its length.
+        // Without chunks, a truncated answer would look complete, so a caller that uses HTTP/1.0
+        // gets the answer in one piece with its length.
         m_collected = HttpReply{status, headers, std::string()};
         m_answer = AnswerState::Collecting;
         return !m_callerGone;
     }
     m_answer = AnswerState::Streaming;
-    m_saidClose = !keepsAlive();
-    const std::string head = answerHead(status, headers, BodyLength{}, !m_saidClose);
+    m_sentClose = !keepsAlive();
+    const std::string head = answerHead(status, headers, BodyLength{}, !m_sentClose);
     std::array<asio::const_buffer, 1> buffers = {bufferOf(head)};
     return writeAll(buffers);
 }
@@ -241,7 +242,7 @@
     }
     if (m_answer != AnswerState::Streaming)
         return false;
-    // A chunk of no bytes would be the end mark.
+    // An empty chunk would mark the end of the body.
     if (chunk.empty() || m_isHead)
         return !m_callerGone;
     std::array<char, 20> head;
@@ -284,18 +285,18 @@
     m_service.m_bytesSent += bytes - asio::buffer_size(buffers);
     if (status == StreamStatus::Good)
         return true;
-    // Part of a message may be out, so nothing else can follow on this connection.
+    // Part of a message may have been sent, so nothing else can follow on this connection.
     m_callerGone = true;
     m_stream->close();
     return false;
 }
 
-/// Tells whether the answer that begins leaves the connection open. Before a planned stop it does
-/// only where the next request has been read: a caller that sent both at once would get no answer
-/// to that one.
+/// Returns whether the connection stays open after the answer that begins now. Before a planned
+/// stop it does so only if the next request has been read already: a caller that sent both at once
+/// would get no answer to the second one.
 bool HttpConnection::keepsAlive() const
 {
-    const bool isEnding = m_service.m_stopping || m_service.m_saysClose;
+    const bool isEnding = m_service.m_stopping || m_service.m_announcesClose;
     return m_callerKeepsAlive && (!isEnding || m_stream->input().size() > 0);
 }
 
--- a/src/runtime/detail/http_connection.hpp
+++ b/src/runtime/detail/http_connection.hpp
@@ -18,7 +18,7 @@
 
 namespace gypsumdale::detail {
 
-/// What the connections of one server share.
+/// State shared by the connections of one server.
 struct HttpService
 {
     HttpHandler m_handler;
@@ -28,18 +28,18 @@
     std::atomic<std::uint64_t> m_bytesReceived = 0;
     std::atomic<std::uint64_t> m_bytesSent = 0;
     std::atomic<bool> m_stopping = false;
-    std::atomic<bool> m_saysClose = false;
+    std::atomic<bool> m_announcesClose = false;
 };
 
-/// One connection of a server, served by one fiber. It is also the responder of the request that it
-/// handles at the time.
+/// One connection of a server, served by one fiber. It is also the responder of the request that is
+/// currently handled.
 class HttpConnection final
     : public HttpResponder
     , public boost::intrusive::list_base_hook<
               boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
 {
 public:
-    /// The server has counted the connection; its end takes it off the count.
+    /// The server has already counted the connection; the destructor decrements the count.
     HttpConnection(std::shared_ptr<Stream> stream, HttpService &service);
     ~HttpConnection() override;
     HttpConnection(const HttpConnection &) = delete;
@@ -48,14 +48,14 @@
     /// Serves requests until the connection ends.
     void serve();
 
-    /// Closes the connection if it is between requests. One that has not brought a first request
-    /// yet is given a moment for it.
+    /// Closes the connection if it is between requests. One that has not sent a first request yet
+    /// is given a short time to do so.
     void closeIfIdle();
 
-    /// Closes the connection whatever it does.
+    /// Closes the connection in any state.
     void close() { m_stream->close(); }
 
-    /// Tells whether a request was handed to the handler and its answer is not finished.
+    /// Returns whether a request was passed to the handler and its answer is not finished.
     bool isAnswering() const { return m_isAnswering; }
 
     bool send(const HttpReply &reply) override;
@@ -74,7 +74,7 @@
 private:
     using Parser = MessageParser<true>;
 
-    /// How far the answer to the current request is.
+    /// State of the answer to the current request.
     enum class AnswerState {
         Owed,
         Streaming,
@@ -82,14 +82,14 @@
         Complete,
     };
 
-    bool serveOne();
+    bool serveRequest();
     bool awaitFirstByte();
     bool readRequest(Parser &parser);
     bool sendContinueIfAsked(Parser &parser);
     void refuse(int status, ErrorId id, std::string_view message);
     void refuse(const boost::beast::error_code &error);
     void handle(const HttpRequest &request);
-    void noteCallerGone();
+    void markCallerGone();
     bool writeAll(std::span<boost::asio::const_buffer> buffers);
     bool keepsAlive() const;
 
@@ -105,7 +105,7 @@
     bool m_callerKeepsAlive = false;
     bool m_callerReadsChunks = true;
     bool m_isHead = false;
-    bool m_saidClose = false;
+    bool m_sentClose = false;
 };
 
 } // namespace gypsumdale::detail
--- a/src/runtime/detail/listener.cpp
+++ b/src/runtime/detail/listener.cpp
@@ -20,8 +20,9 @@
 namespace asio = boost::asio;
 
 constexpr int backlog = 1024;
-/// Pause after the process has run out of descriptors, which accept() reports again and again.
-constexpr Duration exhaustedPause = std::chrono::milliseconds(20);
+/// Pause after the process has run out of file descriptors, as accept() fails with this error on
+/// each retry.
+constexpr Duration exhaustionRetryDelay = std::chrono::milliseconds(20);
 
 bool isExhaustion(int error)
 {
@@ -70,20 +71,19 @@
     return listener;
 }
 
-void Listener::accept(Acceptance acceptance)
+void Listener::accept(AcceptHandler onAccept)
 {
-    m_loop.spawn([self = shared_from_this(), acceptance = std::move(acceptance)] {
-        self->run(acceptance);
-    });
+    m_loop.spawn(
+            [self = shared_from_this(), onAccept = std::move(onAccept)] { self->run(onAccept); });
 }
 
-void Listener::run(const Acceptance &acceptance)
+void Listener::run(const AcceptHandler &onAccept)
 {
-    m_acceptance = &acceptance;
+    m_onAccept = &onAccept;
     LoopCore::current()->m_closables.push_back(*this);
     while (m_acceptor.is_open()) {
         if (!acceptPending()) {
-            sleepFiber(exhaustedPause);
+            sleepFiber(exhaustionRetryDelay);
             continue;
         }
         if (m_isClosing) {
@@ -94,17 +94,17 @@
         m_acceptor.async_wait(asio::ip::tcp::acceptor::wait_read, wait.handler());
         wait.wait();
     }
-    m_acceptance = nullptr;
+    m_onAccept = nullptr;
 }
 
-/// Returns false if the process has no room for more connections.
+/// Accepts all pending connections. Returns false if the process has no resources for more.
 bool Listener::acceptPending()
 {
     for (;;) {
         const int native = ::accept4(m_acceptor.native_handle(), nullptr, nullptr,
                                      SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (native >= 0) {
-            (*m_acceptance)(std::make_shared<NativeSocket>(native));
+            (*m_onAccept)(std::make_shared<NativeSocket>(native));
             continue;
         }
         if (errno == ECONNABORTED || errno == EINTR)
@@ -118,8 +118,8 @@
     if (!m_acceptor.is_open())
         return;
     boost::system::error_code error;
-    if (m_acceptance && !LoopCore::current()->m_stopping && !acceptPending()) {
-        // The fiber that accepts closes it as soon as it has taken them in.
+    if (m_onAccept && !LoopCore::current()->m_stopping && !acceptPending()) {
+        // The accepting fiber closes the socket as soon as it has accepted the pending connections.
         m_isClosing = true;
         m_acceptor.cancel(error);
         return;
@@ -128,7 +128,7 @@
     m_isClosed = true;
 }
 
-void Listener::closeSoon()
+void Listener::postClose()
 {
     asio::post(m_loop.context(), [self = shared_from_this()] { self->close(); });
 }
--- a/src/runtime/detail/listener.hpp
+++ b/src/runtime/detail/listener.hpp
@@ -15,7 +15,8 @@
 
 namespace gypsumdale::detail {
 
-/// A connected socket on its way to the loop that will serve it; closes it if it never gets there.
+/// A connected socket that is handed to the loop that will serve it; closes the socket if it is not
+/// taken over there.
 class NativeSocket
 {
 public:
@@ -40,43 +41,44 @@
 {
 public:
     /// Takes over a connected socket; called on the listener's loop.
-    using Acceptance = std::function<void(std::shared_ptr<NativeSocket> socket)>;
+    using AcceptHandler = std::function<void(std::shared_ptr<NativeSocket> socket)>;
 
     explicit Listener(FiberLoop &loop);
 
-    /// Opens the socket. Fails with AddressInUse. Any thread, before accept().
+    /// Opens the socket. Fails with AddressInUse. Safe from any thread, before accept().
     static Result<std::shared_ptr<Listener>> open(FiberLoop &loop, const std::string &address,
                                                   std::uint16_t port);
 
     std::uint16_t port() const { return m_port; }
 
-    /// Accepts connections in a fiber of the loop until close(). Any thread.
-    void accept(Acceptance acceptance);
+    /// Accepts connections in a fiber of the loop until close(). Safe from any thread.
+    void accept(AcceptHandler onAccept);
 
-    /// Takes in the connections that the kernel has completed already, then closes the socket; left
-    /// to the kernel, they would be reset with requests in them. While the process has no
-    /// descriptors for them, the socket stays open. On the loop's thread.
+    /// Accepts the connections that the kernel has already completed, then closes the socket;
+    /// otherwise the kernel would reset them together with their requests. While the process lacks
+    /// descriptors for them, the socket stays open. Called on the loop's thread.
     void close() override;
 
-    /// Calls close() on the loop. Any thread; needs no running loop.
-    void closeSoon();
+    /// Schedules close() on the loop. Safe from any thread; the loop need not be running.
+    void postClose();
 
-    /// Tells whether the socket is closed and all that was completed before is handed over. Any
-    /// thread.
+    /// Returns whether the socket is closed and all connections completed before were handed over.
+    /// Safe from any thread.
     bool isClosed() const { return m_isClosed; }
 
 private:
-    void run(const Acceptance &acceptance);
+    void run(const AcceptHandler &onAccept);
     bool acceptPending();
 
     FiberLoop &m_loop;
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::uint16_t m_port = 0;
     std::atomic<bool> m_isClosed = false;
-    /// Whether it is to be closed once there is room for what the kernel has completed.
+    /// Set while the socket waits to be closed until the process has descriptors for the
+    /// connections that the kernel has completed.
     bool m_isClosing = false;
-    /// Set while the fiber that accepts runs.
-    const Acceptance *m_acceptance = nullptr;
+    /// Set while the accepting fiber runs.
+    const AcceptHandler *m_onAccept = nullptr;
 };
 
 } // namespace gypsumdale::detail
--- a/src/runtime/detail/loop_core.cpp
+++ b/src/runtime/detail/loop_core.cpp
@@ -14,14 +14,15 @@
 
 thread_local LoopCore *currentCore = nullptr;
 
-/// Rounds of ready work that a stopping loop still runs.
-constexpr int mostFinalRounds = 1000;
+/// Number of rounds of ready work that a stopping loop still runs.
+constexpr int maxFinalRounds = 1000;
 
-/// Runs what is ready at the stop, so that fibers whose connections were closed just before it end
-/// by themselves and need not be abandoned. Bounded, as some fibers never rest.
+/// Runs the work that is ready when the loop stops, so that fibers whose connections were closed
+/// just before end by themselves and need not be abandoned. Bounded, because some fibers are always
+/// ready.
 void finishReadyWork(LoopCore &core)
 {
-    for (int round = 0; round < mostFinalRounds; ++round) {
+    for (int round = 0; round < maxFinalRounds; ++round) {
         const std::size_t handlersRun = core.m_context.poll();
         boost::this_fiber::yield();
         if (handlersRun == 0 && core.m_context.poll() == 0)
@@ -31,7 +32,8 @@
 
 } // namespace
 
-// The hint says that one thread runs the event loop; other threads may still post to it.
+// The concurrency hint states that one thread runs the event loop; other threads may still post to
+// it.
 LoopCore::LoopCore()
     : m_context(1)
     , m_work(boost::asio::make_work_guard(m_context))
--- a/src/runtime/detail/loop_core.hpp
+++ b/src/runtime/detail/loop_core.hpp
@@ -15,8 +15,8 @@
 
 class FiberScheduler;
 
-/// Something that a loop closes when it stops, so that the other ends of its connections learn of
-/// it although the fibers that hold them never run again.
+/// An object that a loop closes when it stops, so that peers see their connections closed although
+/// the fibers that hold them never run again.
 class Closable
     : public boost::intrusive::list_base_hook<
               boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
@@ -31,7 +31,7 @@
     virtual void close() = 0;
 };
 
-/// What one loop's thread works on. Shared with a thread that is parked for abandoned fibers, which
+/// State of one loop's thread. Shared with a thread that stays parked for abandoned fibers, which
 /// may outlive the FiberLoop.
 struct LoopCore
 {
@@ -42,7 +42,8 @@
     LoopCore(const LoopCore &) = delete;
     LoopCore &operator=(const LoopCore &) = delete;
 
-    /// Returns the core of the calling thread's loop, or nullptr on other threads. Constant.
+    /// Returns the core of the calling thread's loop, or nullptr on other threads. Complexity:
+    /// constant.
     static LoopCore *current();
 
     /// Starts a fiber of this loop. Called on the loop's thread.
@@ -55,8 +56,8 @@
     Closables m_closables;
     std::size_t m_liveFibers = 0;
     bool m_stopping = false;
-    /// Fulfilled when the thread has run its last fiber. It stands here, where it outlives the
-    /// thread, as a promise may still be touched by set_value() after its waiter went on.
+    /// Fulfilled when the thread has run its last fiber. It is a member of the core, which outlives
+    /// the thread, because set_value() may still access the promise after its waiter has continued.
     std::promise<void> m_finished;
 };
 
--- a/src/runtime/detail/message_parser.hpp
+++ b/src/runtime/detail/message_parser.hpp
@@ -11,8 +11,8 @@
 
 namespace gypsumdale::detail {
 
-/// Parses one HTTP/1.1 message out of the pieces it comes in. Header and body go straight into
-/// their final places; the body collects until takeBody().
+/// Parses one HTTP/1.1 message from the pieces in which it arrives. Header and body are written
+/// directly to their final place; the body accumulates until takeBody().
 template <bool isRequest>
 class MessageParser : public boost::beast::http::basic_parser<isRequest>
 {
--- a/src/runtime/detail/message_writer.cpp
+++ b/src/runtime/detail/message_writer.cpp
@@ -12,20 +12,21 @@
 
 namespace {
 
-/// Fields that say where a message ends or what becomes of the connection; only this side knows.
+/// Fields that define the end of a message or the reuse of the connection; only this side may set
+/// them.
 constexpr std::array<std::string_view, 6> framingFields = {
         "Content-Length", "Transfer-Encoding", "Connection", "Keep-Alive", "Trailer", "Upgrade",
 };
 
-bool isFraming(std::string_view name)
+bool isFramingField(std::string_view name)
 {
     return std::any_of(framingFields.begin(), framingFields.end(), [name](std::string_view field) {
         return boost::beast::iequals(name, field);
     });
 }
 
-/// Guards against a value that ends its line and forges further fields or a second message: what
-/// could end the line is written as a space.
+/// Appends a text with each character that could end its line replaced by a space. Otherwise a
+/// value could inject further fields or a second message.
 void appendOnOneLine(std::string &out, std::string_view text)
 {
     for (const char character : text) {
@@ -37,7 +38,7 @@
 void appendFields(std::string &out, const HttpHeaders &headers)
 {
     for (const auto &[name, value] : headers.fields()) {
-        if (name.empty() || isFraming(name))
+        if (name.empty() || isFramingField(name))
             continue;
         appendOnOneLine(out, name);
         out += ": ";
--- a/src/runtime/detail/message_writer.hpp
+++ b/src/runtime/detail/message_writer.hpp
@@ -9,22 +9,23 @@
 
 namespace gypsumdale::detail {
 
-/// How the end of a message's body is marked.
+/// Length of a message's body, which defines how its end is marked.
 struct BodyLength
 {
-    /// Nothing means chunked.
+    /// Empty for a chunked body.
     std::optional<std::size_t> m_bytes;
 };
 
-/// Writes an answer's header, with the framing fields in place of the caller's own. Linear.
+/// Returns the header of an answer. Framing fields are generated; those of the caller are ignored.
+/// Complexity: linear.
 std::string answerHead(int status, const HttpHeaders &headers, BodyLength length, bool keepAlive);
 
-/// Writes a request's header, with the framing fields in place of the caller's own, and Host if
-/// the caller gave none. Linear.
+/// Returns the header of a request. Framing fields are generated; those of the caller are ignored.
+/// Adds Host if the caller gave none. Complexity: linear.
 std::string requestHead(std::string_view method, std::string_view target, std::string_view host,
                         const HttpHeaders &headers, std::size_t bodyBytes);
 
-/// Tells whether answers of this status never have a body.
+/// Returns whether answers with this status never have a body.
 bool isBodyless(int status);
 
 } // namespace gypsumdale::detail
--- a/src/runtime/detail/stream.cpp
+++ b/src/runtime/detail/stream.cpp
@@ -16,12 +16,12 @@
 using boost::system::error_code;
 namespace asio = boost::asio;
 
-constexpr std::size_t smallestRead = std::size_t{4} * 1024;
-constexpr std::size_t largestRead = std::size_t{64} * 1024;
-/// Input that may collect unparsed while a connection is watched.
-constexpr std::size_t mostReadAhead = std::size_t{64} * 1024;
-constexpr Duration gentleCloseTime = std::chrono::seconds(1);
-constexpr std::size_t gentleCloseBytes = std::size_t{1024} * 1024;
+constexpr std::size_t minReadBytes = std::size_t{4} * 1024;
+constexpr std::size_t maxReadBytes = std::size_t{64} * 1024;
+/// Unparsed input that may accumulate while a connection is watched.
+constexpr std::size_t maxReadAheadBytes = std::size_t{64} * 1024;
+constexpr Duration gracefulCloseTimeout = std::chrono::seconds(1);
+constexpr std::size_t gracefulCloseMaxBytes = std::size_t{1024} * 1024;
 
 std::size_t totalSize(std::span<const asio::const_buffer> buffers)
 {
@@ -48,7 +48,7 @@
 Stream::Stream(LoopCore &core)
     : m_socket(core.m_context)
     , m_timer(core.m_context)
-    , m_readSize(smallestRead)
+    , m_readSize(minReadBytes)
 {
     core.m_closables.push_back(*this);
 }
@@ -86,7 +86,7 @@
 {
     if (m_closed)
         return StreamStatus::Closed;
-    if (m_ahead && (m_ahead->m_active || m_ahead->m_failed))
+    if (m_readAhead && (m_readAhead->m_active || m_readAhead->m_failed))
         return awaitReadAhead(deadline);
     startDeadline(deadline);
     AsyncWait wait;
@@ -95,26 +95,27 @@
     stopDeadline();
     m_input.commit(wait.bytes());
     if (wait.bytes() == m_readSize)
-        m_readSize = std::min(2 * m_readSize, largestRead);
+        m_readSize = std::min(2 * m_readSize, maxReadBytes);
     return statusOf(error);
 }
 
 StreamStatus Stream::awaitReadAhead(SteadyTime deadline)
 {
-    if (m_ahead->m_active) {
+    if (m_readAhead->m_active) {
         startDeadline(deadline);
         AsyncWait wait;
-        m_aheadWaiter = &wait;
+        m_readAheadWaiter = &wait;
         wait.wait();
-        m_aheadWaiter = nullptr;
+        m_readAheadWaiter = nullptr;
         stopDeadline();
     }
-    if (!m_ahead->m_failed)
+    if (!m_readAhead->m_failed)
         return StreamStatus::Good;
-    const StreamStatus status = statusOf(m_ahead->m_error);
-    // Its time was over; the connection has not failed, and what comes can still be read.
+    const StreamStatus status = statusOf(m_readAhead->m_error);
+    // The wait timed out, but the connection has not failed; data that arrives later can still be
+    // read.
     if (status == StreamStatus::TimedOut)
-        m_ahead->m_failed = false;
+        m_readAhead->m_failed = false;
     return status;
 }
 
@@ -149,17 +150,17 @@
     m_onEnd = std::move(onEnd);
     if (!m_onEnd || m_closed)
         return;
-    if (!m_ahead)
-        m_ahead = std::make_unique<ReadAhead>();
-    if (!m_ahead->m_active && !m_ahead->m_failed)
+    if (!m_readAhead)
+        m_readAhead = std::make_unique<ReadAhead>();
+    if (!m_readAhead->m_active && !m_readAhead->m_failed)
         beginReadAhead();
 }
 
 void Stream::beginReadAhead()
 {
-    m_ahead->m_active = true;
+    m_readAhead->m_active = true;
     m_socket.async_read_some(
-            asio::buffer(m_ahead->m_bytes),
+            asio::buffer(m_readAhead->m_bytes),
             [self = shared_from_this()](const error_code &error, std::size_t bytes) {
                 self->finishReadAhead(error, bytes);
             });
@@ -167,25 +168,25 @@
 
 void Stream::finishReadAhead(const error_code &error, std::size_t bytes)
 {
-    m_ahead->m_active = false;
+    m_readAhead->m_active = false;
     const std::size_t copied =
-            asio::buffer_copy(m_input.prepare(bytes), asio::buffer(m_ahead->m_bytes), bytes);
+            asio::buffer_copy(m_input.prepare(bytes), asio::buffer(m_readAhead->m_bytes), bytes);
     m_input.commit(copied);
-    m_ahead->m_error = error;
-    m_ahead->m_failed = static_cast<bool>(error);
-    if (m_aheadWaiter) {
-        m_aheadWaiter->handler()(error, bytes);
+    m_readAhead->m_error = error;
+    m_readAhead->m_failed = static_cast<bool>(error);
+    if (m_readAheadWaiter) {
+        m_readAheadWaiter->handler()(error, bytes);
         return;
     }
     if (!m_onEnd)
         return;
-    if (m_ahead->m_failed)
+    if (m_readAhead->m_failed)
         std::exchange(m_onEnd, nullptr)();
-    else if (m_input.size() < mostReadAhead)
+    else if (m_input.size() < maxReadAheadBytes)
         beginReadAhead();
 }
 
-bool Stream::isQuietAndOpen()
+bool Stream::isIdleAndOpen()
 {
     if (m_closed || m_input.size() > 0)
         return false;
@@ -202,13 +203,13 @@
     return static_cast<std::size_t>(bytes);
 }
 
-void Stream::closeGently()
+void Stream::closeGracefully()
 {
     error_code error;
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, error);
-    const SteadyTime deadline = deadlineAfter(gentleCloseTime);
+    const SteadyTime deadline = deadlineAfter(gracefulCloseTimeout);
     std::size_t discarded = 0;
-    while (discarded < gentleCloseBytes) {
+    while (discarded < gracefulCloseMaxBytes) {
         discarded += m_input.size();
         m_input.clear();
         if (fill(deadline) != StreamStatus::Good)
@@ -254,7 +255,8 @@
 {
     m_timedOut = false;
     m_deadline = deadline;
-    // A timer that runs out earlier is left alone; it is set anew when it finds the deadline moved.
+    // A timer that expires earlier stays as it is: onTimer() arms it again when the deadline is
+    // later.
     if (deadline < m_timerAt)
         armTimer(deadline);
 }
--- a/src/runtime/detail/stream.hpp
+++ b/src/runtime/detail/stream.hpp
@@ -23,77 +23,77 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-/// Returns the time after a duration from now; a duration too long to be added means never.
+/// Returns the time that is a duration from now; a duration too long to be added gives the maximum,
+/// which means never.
 inline SteadyTime deadlineAfter(Duration duration)
 {
     const SteadyTime now = std::chrono::steady_clock::now();
     return duration < SteadyTime::max() - now ? now + duration : SteadyTime::max();
 }
 
-/// Why an operation of a stream ended.
+/// Outcome of a stream's operation.
 enum class StreamStatus {
     Good,
-    /// The other side has ended its sending; only where no byte came.
+    /// The other side has ended sending; reported only if no byte was received.
     Ended,
-    /// The connection failed, or could not be opened.
+    /// The connection failed or could not be opened.
     Broken,
     TimedOut,
-    /// Closed on this side, by another fiber or by the loop's end.
+    /// Closed on this side, by another fiber or by the end of the loop.
     Closed,
 };
 
 /// One TCP connection of a loop, used by its fibers: one reader and one writer at a time. Input
-/// collects in a buffer of its own. Each call suspends the calling fiber; an operation whose time
-/// is over is cancelled and leaves the connection open, so that a last answer can still be sent.
+/// accumulates in the stream's own buffer. Each call suspends the calling fiber. An operation that
+/// times out is cancelled but leaves the connection open, so that a last answer can still be sent.
 /// The limits are real time, not the pausable clock.
 class Stream
     : public Closable
     , public std::enable_shared_from_this<Stream>
 {
 public:
-    /// Created on the loop's thread.
+    /// Called on the loop's thread.
     explicit Stream(LoopCore &core);
 
-    /// Takes over a connected, non-blocking socket; leaves it to the caller on failure.
+    /// Takes over a connected, non-blocking socket; on failure the socket stays with the caller.
     bool adopt(int nativeSocket);
 
-    /// Broken means that the other host refused: nothing listens there. A network that knows no way
-    /// says nothing of the other side, and counts as TimedOut.
+    /// Connects to an endpoint. Returns Broken if the other host refused, as nothing listens there.
+    /// A missing network route says nothing about the other side and is returned as TimedOut.
     StreamStatus connect(const boost::asio::ip::tcp::endpoint &endpoint, Duration timeout);
 
-    /// Appends what has come to the buffer; waits for it. Takes over a read that watch() left
-    /// outstanding.
+    /// Waits for input and appends it to the buffer. Takes over a read that watch() left pending.
     StreamStatus fill(SteadyTime deadline);
 
-    /// Writes all of the buffers, gathered; each time the other side takes nothing for the timeout
-    /// ends it, and so does the latest time. Leaves in the buffers what was not written, so that a
-    /// further call goes on.
+    /// Writes all buffers, gathered. Fails if the other side accepts nothing for the timeout, or at
+    /// the `latest` time. Leaves unwritten bytes in the buffers, so that a further call can
+    /// continue.
     StreamStatus write(std::span<boost::asio::const_buffer> buffers, Duration timeout,
                        SteadyTime latest = SteadyTime::max());
 
-    /// Begins a read in the background whose outcome the next fill() returns. If it finds the
-    /// connection ended or broken, onEnd is called at once from the loop. Pass nullptr to be told
-    /// no more.
+    /// Starts a read in the background; the next fill() returns its outcome. If it finds the
+    /// connection ended or broken, onEnd is called at once from the loop. Pass nullptr to
+    /// unregister.
     void watch(std::function<void()> onEnd);
 
-    /// Moves the deadline of the fill() that waits, if there is one, to an earlier time.
+    /// Moves the deadline of a waiting fill(), if any, to an earlier time.
     void shortenDeadline(SteadyTime deadline);
 
-    /// Tells whether the other side has closed the connection or sent something unasked. Costs one
-    /// system call.
-    bool isQuietAndOpen();
+    /// Returns whether the connection is open and holds no unread input: false once the other side
+    /// has closed it or sent something unrequested. Costs one system call.
+    bool isIdleAndOpen();
 
     /// Ends sending, then discards input until the other side closes, for a bounded time and number
-    /// of bytes. Without it, closing with unread input resets the connection, which can destroy an
-    /// answer that the other side hasn't read yet.
-    void closeGently();
+    /// of bytes. Closing with unread input would reset the connection, which can destroy an answer
+    /// that the other side hasn't read yet.
+    void closeGracefully();
 
-    /// Says whether close() resets the connection: what the kernel still holds, or a path that has
-    /// fallen silent, then never arrives.
+    /// Sets whether close() resets the connection. After a reset, data still held by the kernel or
+    /// by a path that no longer delivers never arrives.
     void resetOnClose(bool isOn) { m_resetsOnClose = isOn; }
 
-    /// Returns the bytes that were written and that the other host has not acknowledged, or nothing
-    /// where that can't be known. Costs one system call.
+    /// Returns the number of written bytes that the other host has not acknowledged, or nothing if
+    /// it is unknown. Costs one system call.
     std::optional<std::size_t> unacknowledged();
 
     void close() override;
@@ -103,9 +103,8 @@
     std::string remoteAddress() const;
 
 private:
-    /// A read that watch() began. It has a buffer of its own, as the parser may take bytes out of
-    /// the input while the read is under way, and is outlasted by the stream, which its handler
-    /// holds.
+    /// A read started by watch(). It has its own buffer, because the parser may consume input while
+    /// the read is pending. Its handler keeps the stream alive.
     struct ReadAhead
     {
         std::array<char, 2048> m_bytes;
@@ -129,9 +128,9 @@
     SteadyTime m_timerAt = SteadyTime::max();
     boost::beast::flat_buffer m_input;
     std::size_t m_readSize;
-    std::unique_ptr<ReadAhead> m_ahead;
-    /// Wakes the fiber that waits in fill() for the read that watch() began.
-    AsyncWait *m_aheadWaiter = nullptr;
+    std::unique_ptr<ReadAhead> m_readAhead;
+    /// Wakes the fiber that waits in fill() for the read started by watch().
+    AsyncWait *m_readAheadWaiter = nullptr;
     std::function<void()> m_onEnd;
     bool m_timedOut = false;
     bool m_closed = false;
--- a/src/runtime/detail/term_watch.cpp
+++ b/src/runtime/detail/term_watch.cpp
@@ -6,7 +6,7 @@
 
 void CallTerm::noteShortened()
 {
-    // What is called may end its own listening.
+    // The callback may unregister itself, so a copy is called.
     if (const std::function<void()> onShortened = m_onShortened)
         onShortened();
 }
@@ -28,9 +28,9 @@
 {
     m_term->m_onShortened = [weak = weak_from_this()] {
         if (const std::shared_ptr<TermWatch> self = weak.lock())
-            self->look();
+            self->checkDeadline();
     };
-    lookIn(m_term->left());
+    scheduleCheck(m_term->left());
 }
 
 void TermWatch::end()
@@ -42,24 +42,24 @@
     m_timer.cancel();
 }
 
-void TermWatch::lookIn(Duration time)
+void TermWatch::scheduleCheck(Duration time)
 {
     m_timer.expires_after(time);
     m_timer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         if (error)
             return;
         if (const std::shared_ptr<TermWatch> self = weak.lock())
-            self->look();
+            self->checkDeadline();
     });
 }
 
-/// Tells whether the other side has all of the request, or this can't be known.
+/// Returns whether the other side has received the whole request, or this is unknown.
 bool TermWatch::hasArrived() const
 {
-    return m_isHandedOver && m_stream->unacknowledged().value_or(0) == 0;
+    return m_isWritten && m_stream->unacknowledged().value_or(0) == 0;
 }
 
-void TermWatch::look()
+void TermWatch::checkDeadline()
 {
     if (!m_term)
         return;
@@ -69,10 +69,10 @@
     }
     const Duration left = m_term->left();
     if (left > Duration::zero()) {
-        lookIn(left);
+        scheduleCheck(left);
         return;
     }
-    m_hasTakenBack = true;
+    m_hasAborted = true;
     m_unacknowledged = m_stream->unacknowledged().value_or(0);
     end();
     m_stream->close();
--- a/src/runtime/detail/term_watch.hpp
+++ b/src/runtime/detail/term_watch.hpp
@@ -12,9 +12,9 @@
 
 namespace gypsumdale::detail {
 
-/// Takes a request back whose term ends before the other side has acknowledged all of it: its
-/// connection is reset, so that what the kernel or a silent path still holds can't arrive later. A
-/// request that was acknowledged whole is left alone.
+/// Aborts a request whose delivery deadline passes before the other side has acknowledged all of
+/// it. The connection is reset, so that data still held by the kernel or by a path that stopped
+/// delivering can't arrive later. A request that was acknowledged completely is not aborted.
 class TermWatch : public std::enable_shared_from_this<TermWatch>
 {
 public:
@@ -23,28 +23,28 @@
     TermWatch(const TermWatch &) = delete;
     TermWatch &operator=(const TermWatch &) = delete;
 
-    /// Begins to watch; called before the first byte is handed over.
+    /// Starts watching the deadline; called before the first byte is written.
     void begin();
-    /// All of the request is with the kernel.
-    void noteHandedOver() { m_isHandedOver = true; }
-    /// The answer has begun: the request has arrived.
+    /// Records that the kernel has accepted the whole request.
+    void markWritten() { m_isWritten = true; }
+    /// Stops watching, as the answer has begun and so the request has arrived.
     void end();
 
-    bool hasTakenBack() const { return m_hasTakenBack; }
-    /// Returns the bytes that the kernel held as the request was taken back.
+    bool hasAborted() const { return m_hasAborted; }
+    /// Returns the number of bytes that were unacknowledged when the request was aborted.
     std::size_t unacknowledged() const { return m_unacknowledged; }
 
 private:
-    void look();
-    void lookIn(Duration time);
+    void checkDeadline();
+    void scheduleCheck(Duration time);
     bool hasArrived() const;
 
     std::shared_ptr<CallTerm> m_term;
     std::shared_ptr<Stream> m_stream;
     boost::asio::steady_timer m_timer;
     std::size_t m_unacknowledged = 0;
-    bool m_isHandedOver = false;
-    bool m_hasTakenBack = false;
+    bool m_isWritten = false;
+    bool m_hasAborted = false;
 };
 
 } // namespace gypsumdale::detail
--- a/src/runtime/fiber_loop.cpp
+++ b/src/runtime/fiber_loop.cpp
@@ -29,11 +29,11 @@
     return std::chrono::seconds(spent.tv_sec) + std::chrono::nanoseconds(spent.tv_nsec);
 }
 
-/// Guards against abandoned fibers: when a thread ends, Boost.Fiber waits for each of its fibers to
-/// return, so stop() would hang on one that waits for ever; and another thread that fulfils the
-/// promise of an abandoned fiber would reach into a scheduler that is gone. Such a thread therefore
-/// stays, asleep, until the process ends, and what its fibers refer to stays with it.
-[[noreturn]] void keepThreadAsleep()
+/// Keeps a thread with abandoned fibers asleep until the process ends. When a thread ends,
+/// Boost.Fiber waits for each of its fibers to return, so stop() would hang on a fiber that waits
+/// forever. In addition, another thread that fulfils the promise of an abandoned fiber would access
+/// a destroyed scheduler. Objects that such fibers refer to stay alive with the thread.
+[[noreturn]] void sleepForever()
 {
     for (;;)
         pause();
@@ -50,8 +50,8 @@
     clockid_t m_processorClock{};
     std::atomic<Duration> m_finalProcessorTime = Duration::zero();
 
-    /// The thread's body. The caller is the thread's own function object, which holds the core, as
-    /// the thread may outlive this state.
+    /// Body of the thread. The thread's function object holds the core, because the thread may
+    /// outlive this state.
     void run(const std::shared_ptr<detail::LoopCore> &core)
     {
         runLoop(*core);
@@ -59,7 +59,7 @@
         const bool hasAbandonedFibers = core->m_liveFibers > 0;
         core->m_finished.set_value();
         if (hasAbandonedFibers)
-            keepThreadAsleep();
+            sleepForever();
     }
 };
 
@@ -80,7 +80,7 @@
     state->m_running = true;
     state->m_thread = std::thread([state, core = state->m_core] { state->run(core); });
     pthread_getcpuclockid(state->m_thread.native_handle(), &state->m_processorClock);
-    // The kernel keeps 15 characters of a thread's name.
+    // The kernel stores at most 15 characters of a thread's name.
     pthread_setname_np(state->m_thread.native_handle(), state->m_name.substr(0, 15).c_str());
 }
 
--- a/src/runtime/frame_channel.cpp
+++ b/src/runtime/frame_channel.cpp
@@ -21,13 +21,13 @@
 using detail::Stream;
 using detail::StreamStatus;
 
-/// Time for a frame that has begun to arrive, and for an answer to be taken.
-constexpr Duration frameTime = std::chrono::seconds(30);
-/// Silence after which a peer that is sent a last answer counts as gone, and time that it has then
-/// to close the connection.
-constexpr Duration lastAnswerSilence = std::chrono::seconds(3);
-/// Bound on what a peer may answer.
-constexpr std::size_t largestAnswer = std::size_t{16} * 1024 * 1024;
+/// Time limit for a frame to arrive completely once it has begun, and for an answer to be accepted.
+constexpr Duration frameTimeout = std::chrono::seconds(30);
+/// Time without progress after which a peer that is sent a last answer counts as gone; afterwards
+/// also the time limit for it to close the connection.
+constexpr Duration lastAnswerIdleTimeout = std::chrono::seconds(3);
+/// Size limit of a peer's answer.
+constexpr std::size_t maxAnswerBytes = std::size_t{16} * 1024 * 1024;
 
 } // namespace
 
@@ -71,7 +71,7 @@
     if (isWaiting && stream.fill(SteadyTime::max()) != StreamStatus::Good)
         return false;
     detail::FrameRead read = detail::readFrame(stream, m_counters, m_maxFrameBytes,
-                                               {detail::deadlineAfter(frameTime)});
+                                               {detail::deadlineAfter(frameTimeout)});
     auto *frame = std::get_if<std::string>(&read);
     if (!frame)
         return false;
@@ -81,20 +81,20 @@
     stream.resetOnClose(true);
     const bool isTaken = answer.m_held ? writeLast(stream, answer.m_bytes)
                                        : detail::writeFrame(stream, m_counters, answer.m_bytes,
-                                                            {detail::deadlineAfter(frameTime)})
+                                                            {detail::deadlineAfter(frameTimeout)})
                                                  == StreamStatus::Good;
     stream.resetOnClose(!isTaken);
     return isTaken;
 }
 
-/// Writes an answer and waits until the peer has closed the connection: what is written may be
-/// under way for long. Returns false, for the connection's end; a peer that has closed it lacks
-/// nothing that its reset takes back.
+/// Writes an answer and waits until the peer has closed the connection, as written data may be in
+/// transit for long. Always returns false, because the connection ends. A peer that has closed it
+/// needs none of the data that the reset discards.
 bool FrameServer::State::writeLast(Stream &stream, const std::string &answer)
 {
-    const FrameLimits limits{detail::deadlineAfter(frameTime), lastAnswerSilence};
+    const FrameLimits limits{detail::deadlineAfter(frameTimeout), lastAnswerIdleTimeout};
     if (detail::writeFrame(stream, m_counters, answer, limits) == StreamStatus::Good)
-        stream.fill(limits.nextPiece());
+        stream.fill(limits.nextDeadline());
     return false;
 }
 
@@ -126,7 +126,7 @@
 {
     if (!m_state)
         return;
-    m_state->m_listener->closeSoon();
+    m_state->m_listener->postClose();
     boost::asio::post(m_state->m_loop.context(), [state = m_state] { state->closeAll(); });
 }
 
@@ -174,7 +174,7 @@
                                                   const FrameLimits &limits)
 {
     if (!m_turn.try_lock_until(limits.m_deadline))
-        return fail(StreamStatus::TimedOut, ErrorId::Timeout, "waiting for a turn");
+        return fail(StreamStatus::TimedOut, ErrorId::Timeout, "waiting for earlier calls");
     const std::unique_lock<boost::fibers::timed_mutex> turn(m_turn, std::adopt_lock);
     const Result<Done> connected = ensureConnected(limits);
     if (!succeeded(connected))
@@ -193,8 +193,8 @@
 {
     if (m_closed)
         return fail(StreamStatus::Closed, ErrorId::Cancelled, "connecting");
-    // A peer that restarted has closed the connection, which shows here before anything is sent.
-    if (m_stream && m_stream->isQuietAndOpen())
+    // A restarted peer has closed the connection; this is detected here, before anything is sent.
+    if (m_stream && m_stream->isIdleAndOpen())
         return Done();
     closeStream();
     boost::system::error_code error;
@@ -203,7 +203,7 @@
         return fail(StreamStatus::Broken, ErrorId::PeerUnreachable, "connecting");
     m_stream = std::make_shared<Stream>(*detail::LoopCore::current());
     const std::shared_ptr<Stream> stream = m_stream;
-    const Duration remaining = limits.nextPiece() - std::chrono::steady_clock::now();
+    const Duration remaining = limits.nextDeadline() - std::chrono::steady_clock::now();
     const StreamStatus status = stream->connect({address, m_endpoint.m_port}, remaining);
     if (status == StreamStatus::Good)
         return Done();
@@ -218,7 +218,7 @@
     const StreamStatus sent = detail::writeFrame(*stream, m_counters, frame, limits);
     if (sent != StreamStatus::Good)
         return fail(sent, ErrorId::ConnectionClosed, "sending");
-    detail::FrameRead read = detail::readFrame(*stream, m_counters, largestAnswer, limits);
+    detail::FrameRead read = detail::readFrame(*stream, m_counters, maxAnswerBytes, limits);
     return std::visit(
             Overloaded{
                     [](std::string &answer) -> Result<std::string> { return std::move(answer); },
--- a/src/runtime/http_client.cpp
+++ b/src/runtime/http_client.cpp
@@ -23,11 +23,11 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-constexpr std::uint32_t largestAnswerHeader = 64 * 1024;
-/// Answers of status 1xx come before the answer proper.
+constexpr std::uint32_t maxAnswerHeaderBytes = 64 * 1024;
+/// Class of the interim answers (1xx), which precede the final answer.
 constexpr int interimStatusClass = 1;
-/// How often a request that the other side doesn't take looks for an answer that came early.
-constexpr Duration earlyAnswerCheck = std::chrono::milliseconds(50);
+/// Interval at which a request that the other side doesn't read is checked for an early answer.
+constexpr Duration earlyAnswerCheckInterval = std::chrono::milliseconds(50);
 
 std::string nameOf(const Endpoint &endpoint)
 {
@@ -42,7 +42,7 @@
     return CallFailure{Error{id, fmt::format("{}: {}", nameOf(endpoint), what)}, phase};
 }
 
-/// Describes a connection that did not come about.
+/// Returns the failure of a connection that could not be opened.
 CallFailure connectFailure(const Endpoint &endpoint, StreamStatus status)
 {
     if (status == StreamStatus::TimedOut)
@@ -53,15 +53,15 @@
                    "cannot connect");
 }
 
-CallFailure termOver(const Endpoint &endpoint)
+CallFailure deadlinePassed(const Endpoint &endpoint)
 {
     return failure(SendPhase::NothingSent, ErrorId::TermOver, endpoint,
-                   "the term was over before sending");
+                   "the delivery deadline passed before sending");
 }
 
 } // namespace
 
-/// An exchange from the request's first byte to the answer's last.
+/// State of an exchange, from the first byte of the request to the last byte of the answer.
 struct HttpExchange::State
 {
     using Parser = detail::MessageParser<false>;
@@ -77,11 +77,11 @@
     CallResult<std::optional<std::string>> read(Duration silenceTimeout);
     void cancel();
 
-    /// Parses what has come. Returns a failure if it is no HTTP.
+    /// Parses the input received so far. Returns a failure if it is not HTTP.
     std::optional<CallFailure> parse();
     CallFailure fail(ErrorId id, std::string_view what);
     CallFailure fail(StreamStatus status);
-    CallFailure failTakenBack();
+    CallFailure failAborted();
     void finish();
     bool endsByClose(StreamStatus status);
 
@@ -89,18 +89,18 @@
     std::shared_ptr<Stream> m_stream;
     std::weak_ptr<detail::ConnectionPool> m_pool;
     std::unique_ptr<Parser> m_parser;
-    /// Null where the call has no term.
+    /// Null if the call has no delivery deadline.
     std::shared_ptr<detail::TermWatch> m_watch;
     Duration m_silenceTimeout;
     SendPhase m_phase = SendPhase::NothingSent;
-    /// Bytes of the request that were not handed to the kernel.
+    /// Number of bytes of the request that were not written to the kernel.
     std::size_t m_unsent = 0;
     bool m_isHead;
     bool m_closeAfter;
     bool m_acceptsUnframed;
     bool m_finished = false;
     bool m_cancelled = false;
-    /// The first failure, which every later read repeats.
+    /// The first failure, which every later read returns again.
     std::optional<CallFailure> m_failure;
 };
 
@@ -120,8 +120,8 @@
                                                       m_stream);
 }
 
-/// Guards the next request of a connection against the rest of an answer that nobody read: unless
-/// the message has ended, the connection goes, and with it what of the request is still under way.
+/// Closes the connection unless the message has ended, so that the connection's next request can't
+/// read the rest of this answer. Request bytes still in transit are dropped with it.
 HttpExchange::State::~State()
 {
     if (!m_finished)
@@ -133,25 +133,25 @@
     const std::string head = detail::requestHead(call.m_method, call.m_target, nameOf(m_endpoint),
                                                  call.m_headers, call.m_body.size());
     std::array<asio::const_buffer, 2> buffers = {asio::buffer(head), asio::buffer(call.m_body)};
-    // A write that fails proves nothing about what the other side has read.
+    // A failed write proves nothing about what the other side has read.
     m_phase = SendPhase::MayHaveBeenRead;
     const detail::SteadyTime deadline = detail::deadlineAfter(call.m_headerTimeout);
     if (m_watch)
         m_watch->begin();
     for (;;) {
-        const StreamStatus status = m_stream->write(buffers, earlyAnswerCheck, deadline);
+        const StreamStatus status = m_stream->write(buffers, earlyAnswerCheckInterval, deadline);
         if (status == StreamStatus::Good) {
             if (m_watch)
-                m_watch->noteHandedOver();
+                m_watch->markWritten();
             return std::nullopt;
         }
         if (status != StreamStatus::TimedOut || std::chrono::steady_clock::now() >= deadline) {
             m_unsent = asio::buffer_size(buffers);
             return fail(status);
         }
-        // An upstream may answer before it has read a long body and stop reading: waiting for it
-        // to take the rest would sit out the whole timeout beside the answer.
-        if (!m_stream->isQuietAndOpen()) {
+        // An upstream may answer before it has read a long body, and stop reading. Waiting for it
+        // to read the rest would last for the whole timeout although the answer is already there.
+        if (!m_stream->isIdleAndOpen()) {
             m_closeAfter = true;
             return std::nullopt;
         }
@@ -163,7 +163,7 @@
     const detail::SteadyTime deadline = detail::deadlineAfter(timeout);
     do {
         m_parser = std::make_unique<Parser>();
-        m_parser->header_limit(largestAnswerHeader);
+        m_parser->header_limit(maxAnswerHeaderBytes);
         m_parser->body_limit(boost::none);
         m_parser->skip(m_isHead);
         while (!m_parser->is_header_done()) {
@@ -215,7 +215,7 @@
     }
 }
 
-/// Tells whether the connection's end is the proper end of the answer.
+/// Returns whether the end of the connection is the proper end of the answer.
 bool HttpExchange::State::endsByClose(StreamStatus status)
 {
     if (status != StreamStatus::Ended || !m_acceptsUnframed || !m_parser->need_eof())
@@ -239,22 +239,23 @@
 
 CallFailure HttpExchange::State::fail(StreamStatus status)
 {
-    if (m_watch && m_watch->hasTakenBack())
-        return failTakenBack();
+    if (m_watch && m_watch->hasAborted())
+        return failAborted();
     if (m_cancelled || status == StreamStatus::Closed)
         return fail(ErrorId::Cancelled, "cancelled");
     if (status == StreamStatus::TimedOut)
         return fail(ErrorId::UpstreamSilent, "no answer in time");
     if (m_phase == SendPhase::AnswerBegun)
-        return fail(ErrorId::AnswerTruncated, "the connection closed within the answer");
+        return fail(ErrorId::AnswerTruncated, "the connection closed during the answer");
     return fail(ErrorId::ConnectionClosed, "the connection closed before the answer");
 }
 
-CallFailure HttpExchange::State::failTakenBack()
+CallFailure HttpExchange::State::failAborted()
 {
     const std::size_t bytes = m_watch->unacknowledged() + m_unsent;
     CallFailure failed =
-            fail(ErrorId::TermOver, fmt::format("taken back with {} bytes unacknowledged", bytes));
+            fail(ErrorId::TermOver,
+                 fmt::format("the delivery deadline passed with {} bytes unacknowledged", bytes));
     failed.m_unacknowledged = bytes;
     m_failure = failed;
     return failed;
@@ -268,7 +269,8 @@
     return *m_failure;
 }
 
-/// Gives the connection back after the message's proper end, unless it may not be used again.
+/// Returns the connection to the pool after the proper end of the message, unless it must not be
+/// reused.
 void HttpExchange::State::finish()
 {
     if (m_finished)
@@ -278,7 +280,7 @@
     const std::shared_ptr<detail::ConnectionPool> pool = m_pool.lock();
     const bool isReusable = m_parser->keep_alive() && m_stream->input().size() == 0;
     if (pool && isReusable && !m_cancelled && !m_closeAfter)
-        pool->keep(m_endpoint, m_stream);
+        pool->release(m_endpoint, m_stream);
     else
         m_stream->close();
 }
@@ -340,7 +342,7 @@
     asio::post(m_state->m_loop.context(), [pool = m_state->m_pool] { pool->close(); });
 }
 
-/// Lets the call's cancellation close its connection.
+/// Enables the call's cancellation to close its connection.
 void HttpClient::attach(const HttpCall &call, const std::shared_ptr<detail::Stream> &stream)
 {
     if (!call.m_cancellation)
@@ -351,7 +353,7 @@
     };
 }
 
-/// Opens a connection within the call's time and term.
+/// Opens a connection within the call's connect timeout and delivery deadline.
 std::optional<CallFailure> HttpClient::connect(const HttpCall &call,
                                                const std::shared_ptr<detail::Stream> &stream)
 {
@@ -377,7 +379,7 @@
     stream->close();
     const bool isCancelled = call.m_cancellation && call.m_cancellation->isCancelled();
     if (term && !isCancelled && !term->maySend(Duration::zero()))
-        return termOver(call.m_endpoint);
+        return deadlinePassed(call.m_endpoint);
     return connectFailure(call.m_endpoint, status);
 }
 
@@ -391,7 +393,7 @@
         return connectFailure(call.m_endpoint, StreamStatus::Closed);
     std::shared_ptr<Stream> stream;
     if (!call.m_freshConnection)
-        stream = state->m_pool->take(call.m_endpoint);
+        stream = state->m_pool->acquire(call.m_endpoint);
     const detail::SteadyTime beganAt = std::chrono::steady_clock::now();
     if (!stream) {
         stream = std::make_shared<Stream>(core);
@@ -400,7 +402,7 @@
     }
     if (call.m_term && !call.m_term->maySend(std::chrono::steady_clock::now() - beganAt)) {
         stream->close();
-        return termOver(call.m_endpoint);
+        return deadlinePassed(call.m_endpoint);
     }
     attach(call, stream);
     auto exchange = std::make_unique<HttpExchange::State>(call, std::move(stream), state->m_pool);
@@ -440,7 +442,7 @@
 void HttpClient::forget(const Endpoint &endpoint)
 {
     if (m_state->m_pool)
-        m_state->m_pool->forget(endpoint);
+        m_state->m_pool->closeAll(endpoint);
 }
 
 } // namespace gypsumdale
--- a/src/runtime/http_message.cpp
+++ b/src/runtime/http_message.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Decodes one name or value of a query, where "+" stands for a space. Nothing if it is malformed.
+/// Decodes one name or value of a query, in which "+" stands for a space. Returns nothing if it is
+/// malformed.
 std::optional<std::string> decode(std::string_view encoded)
 {
     const auto checked = boost::urls::make_pct_string_view(encoded);
--- a/src/runtime/http_server.cpp
+++ b/src/runtime/http_server.cpp
@@ -15,37 +15,37 @@
     using Connections = boost::intrusive::list<detail::HttpConnection,
                                                boost::intrusive::constant_time_size<false>>;
 
-    /// The connections of one loop, touched on its thread only.
-    struct Share
+    /// The connections of one loop, accessed on its thread only.
+    struct LoopConnections
     {
         FiberLoop *m_loop = nullptr;
         Connections m_connections;
     };
 
-    void takeIn(std::shared_ptr<detail::NativeSocket> socket);
-    void serve(Share &share, detail::NativeSocket &socket);
+    void assignToLoop(std::shared_ptr<detail::NativeSocket> socket);
+    void serve(LoopConnections &loop, detail::NativeSocket &socket);
     template <typename Action>
     void onEachConnection(Action action);
 
     detail::HttpService m_service;
-    std::vector<Share> m_shares;
+    std::vector<LoopConnections> m_loopConnections;
     std::shared_ptr<detail::Listener> m_listener;
-    std::size_t m_nextShare = 0;
+    std::size_t m_nextLoop = 0;
 };
 
-/// Hands a new connection to the next loop in turn. On the listener's loop.
-void HttpServer::State::takeIn(std::shared_ptr<detail::NativeSocket> socket)
+/// Assigns a new connection to the next loop, round-robin. Called on the listener's loop.
+void HttpServer::State::assignToLoop(std::shared_ptr<detail::NativeSocket> socket)
 {
-    // Counted here: until its fiber runs, nothing else shows that it is there.
+    // Counted here, because nothing else shows that the connection exists until its fiber runs.
     ++m_service.m_connections;
-    Share &share = m_shares[m_nextShare];
-    m_nextShare = (m_nextShare + 1) % m_shares.size();
-    share.m_loop->spawn([self = shared_from_this(), &share, socket = std::move(socket)] {
-        self->serve(share, *socket);
+    LoopConnections &loop = m_loopConnections[m_nextLoop];
+    m_nextLoop = (m_nextLoop + 1) % m_loopConnections.size();
+    loop.m_loop->spawn([self = shared_from_this(), &loop, socket = std::move(socket)] {
+        self->serve(loop, *socket);
     });
 }
 
-void HttpServer::State::serve(Share &share, detail::NativeSocket &socket)
+void HttpServer::State::serve(LoopConnections &loop, detail::NativeSocket &socket)
 {
     const auto stream = std::make_shared<detail::Stream>(*detail::LoopCore::current());
     const bool isFull = m_service.m_connections > m_service.m_limits.m_connections;
@@ -55,17 +55,18 @@
     }
     socket.release();
     detail::HttpConnection connection(stream, m_service);
-    share.m_connections.push_back(connection);
+    loop.m_connections.push_back(connection);
     connection.serve();
 }
 
-/// Calls the action with each connection, on the connection's loop, some time after the return.
+/// Calls the action for each connection, on the connection's loop, some time after this function
+/// has returned.
 template <typename Action>
 void HttpServer::State::onEachConnection(Action action)
 {
-    for (Share &share : m_shares) {
-        boost::asio::post(share.m_loop->context(), [self = shared_from_this(), &share, action] {
-            for (detail::HttpConnection &connection : share.m_connections)
+    for (LoopConnections &loop : m_loopConnections) {
+        boost::asio::post(loop.m_loop->context(), [self = shared_from_this(), &loop, action] {
+            for (detail::HttpConnection &connection : loop.m_connections)
                 action(connection);
         });
     }
@@ -101,7 +102,7 @@
 {
     if (m_state->m_service.m_stopping.exchange(true))
         return;
-    m_state->m_listener->closeSoon();
+    m_state->m_listener->postClose();
     m_state->onEachConnection([](detail::HttpConnection &connection) { connection.closeIfIdle(); });
 }
 
@@ -115,15 +116,15 @@
 
 void HttpServer::limitTo(const HttpLimits &limits)
 {
-    for (State::Share &share : m_state->m_shares) {
-        boost::asio::post(share.m_loop->context(),
+    for (State::LoopConnections &loop : m_state->m_loopConnections) {
+        boost::asio::post(loop.m_loop->context(),
                           [state = m_state, limits] { state->m_service.m_limits = limits; });
     }
 }
 
 void HttpServer::announceClose()
 {
-    m_state->m_service.m_saysClose = true;
+    m_state->m_service.m_announcesClose = true;
 }
 
 std::size_t HttpServer::requestsInFlight() const
@@ -143,7 +144,8 @@
 
 bool HttpServer::hasCallers() const
 {
-    // In this order: what the listener took in last is counted before it says that it is closed.
+    // The order matters: the listener's last accepted connections are counted before it reports
+    // that it is closed.
     return !m_state->m_listener->isClosed() || connections() > 0;
 }
 
@@ -182,12 +184,12 @@
     auto state = std::make_shared<HttpServer::State>();
     state->m_service.m_handler = std::move(m_handler);
     state->m_service.m_limits = m_limits;
-    state->m_shares = std::vector<HttpServer::State::Share>(m_loops.size());
+    state->m_loopConnections = std::vector<HttpServer::State::LoopConnections>(m_loops.size());
     for (std::size_t index = 0; index < m_loops.size(); ++index)
-        state->m_shares[index].m_loop = m_loops[index];
+        state->m_loopConnections[index].m_loop = m_loops[index];
     state->m_listener = valueOf(opened);
     state->m_listener->accept([state](std::shared_ptr<detail::NativeSocket> socket) {
-        state->takeIn(std::move(socket));
+        state->assignToLoop(std::move(socket));
     });
     return HttpServer(std::move(state));
 }
