--- a/tests/src/unit-fiber-loop.cpp
+++ b/tests/src/unit-fiber-loop.cpp
@@ -56,9 +56,9 @@
 
 TEST_CASE("fibers that keep each other busy do not starve the event loop")
 {
-    // Two fibers yield to each other for ever, so some fiber is always ready and the thread never
-    // blocks in the event loop. A handler posted to it would never run, and a user would see a
-    // connection that is accepted and never answered.
+    // Two fibers yield to each other forever, so some fiber is always ready and the thread never
+    // blocks in the event loop. Without regular polling, a posted handler would never run: a
+    // connection would be accepted and never answered.
     FiberLoop loop("test");
     loop.start();
     std::atomic<bool> handlerRan = false;
@@ -77,8 +77,8 @@
 
 TEST_CASE("stop returns although a fiber waits for something that never comes")
 {
-    // A fiber waits for an answer whose sender has gone. The thread's end would wait for the fiber,
-    // and the process would hang at its end. Fulfilling the promise afterwards must do no harm.
+    // A fiber waits for an answer whose sender is gone. If the end of the thread waited for the
+    // fiber, the process would hang at exit. Fulfilling the promise afterwards must be harmless.
     auto never = std::make_shared<boost::fibers::promise<void>>();
     std::atomic<bool> resumed = false;
     FiberLoop loop("test");
--- a/tests/src/unit-frame-channel.cpp
+++ b/tests/src/unit-frame-channel.cpp
@@ -86,8 +86,8 @@
 
 TEST_CASE("a late answer is never taken for the next one's")
 {
-    // A peer takes longer than the caller waits. The caller gives up and asks something else; then
-    // the peer's answer to the first question arrives. On a connection kept open it would be read
+    // A peer takes longer than the caller's timeout. The caller gives up and sends another frame;
+    // then the answer to the first one arrives. On a connection that stayed open, it would be read
     // as the answer to the second.
     FiberLoop loop("frames");
     FiberLoop peer("peer");
@@ -109,7 +109,7 @@
     REQUIRE(valueOf(next) == "echo next");
 }
 
-// Guards against frames that were given up and still fill a slow way, in front of later ones.
+// Abandoned frames must not fill a slow path ahead of later ones.
 TEST_CASE("a frame that was given up doesn't arrive when its way heals")
 {
     FiberLoop loop("frames");
@@ -127,7 +127,7 @@
     REQUIRE_FALSE(succeeded(loop.call([&] { return channel.exchange("given up", 60ms); })));
     proxy.set(gypsumdale::testing::LinkFault::None);
 
-    // It comes after what the proxy held back.
+    // The markers arrive after anything that the proxy held back.
     FrameChannel other(loop, {"127.0.0.1", proxy.port()});
     for (int marker = 0; marker < 20; ++marker) {
         REQUIRE(succeeded(loop.call([&] { return other.exchange("marker", 10s); })));
@@ -138,7 +138,8 @@
 
 TEST_CASE("what came of a cut frame is counted")
 {
-    // Guards against links full of transfers that all break off while the counters stand still.
+    // Without this count, links could be full of transfers that all break off while the counters do
+    // not change.
     FiberLoop loop("frames");
     loop.start();
     FrameServer server = listenOn(loop, echo);
@@ -157,9 +158,8 @@
 
 TEST_CASE("a channel survives its peer's restart")
 {
-    // A peer's process is replaced by one on the same address. The old connection is dead on the
-    // channel's side without its knowledge; the first exchange after the restart must open a new
-    // one.
+    // A peer's process is replaced by one on the same address. The channel doesn't know that its
+    // old connection is dead; the first exchange after the restart must open a new one.
     FiberLoop loop("frames");
     loop.start();
     auto peer = std::make_unique<FiberLoop>("peer");
@@ -214,8 +214,8 @@
 
 namespace {
 
-/// Takes one frame and answers it with the length of ten bytes and so many single bytes, then waits
-/// until the other side closes.
+/// Receives one frame and answers it with a length of ten bytes and the given number of single
+/// bytes, then waits until the other side closes.
 void answerSlowly(tcp::acceptor &acceptor, int bytes, std::chrono::milliseconds between)
 {
     tcp::socket socket = acceptor.accept();
@@ -233,7 +233,7 @@
 
 } // namespace
 
-// Guards against transfers that are cut, and begun anew, though they make progress.
+// Transfers that make progress must not be aborted and started again.
 TEST_CASE("an exchange that is limited by silence")
 {
     FiberLoop loop("frames");
@@ -249,7 +249,7 @@
     {
         std::jthread server([&] { answerSlowly(acceptor, 10, 100ms); });
         CHECK(valueOf(exchange({800ms, 30s})) == std::string(10, 'x'));
-        // The second is answered by nobody, so that the connection closes.
+        // Nobody answers the second exchange, so the connection closes.
         CHECK(errorOf(exchange({100ms, 30s})).m_id == ErrorId::Timeout);
     }
 
--- a/tests/src/unit-http-stop.cpp
+++ b/tests/src/unit-http-stop.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-/// Turns of the event loop in which it takes in what has arrived, with room to spare.
+/// Turns of the event loop after which it has certainly read what has arrived.
 constexpr int turns = 50;
 
 /// Runs an action on a loop after a number of turns in which no fiber runs.
@@ -65,7 +65,7 @@
 {
 public:
     explicit Caller(const HttpServer &server) { connect(server); }
-    /// Takes a descriptor and connects later.
+    /// Opens the socket's descriptor; connects later.
     Caller() { m_socket.open(tcp::v4()); }
 
     void connect(const HttpServer &server)
@@ -75,7 +75,7 @@
 
     void write(const std::string &text) { asio::write(m_socket, asio::buffer(text)); }
 
-    /// Tells whether the server has left the connection open.
+    /// Returns whether the server has left the connection open.
     bool isOpen()
     {
         char byte = 0;
@@ -83,7 +83,7 @@
                && (errno == EAGAIN || errno == EWOULDBLOCK);
     }
 
-    /// Takes what comes until the end of a text.
+    /// Reads until the given text has arrived.
     void readUntil(const std::string &end)
     {
         m_input.erase(0, asio::read_until(m_socket, asio::dynamic_buffer(m_input), end));
@@ -102,7 +102,7 @@
     std::string m_input;
 };
 
-/// Takes away the descriptors that the process may still open, as long as it lives.
+/// Leaves the process no free file descriptor during the object's lifetime.
 class WithoutDescriptors
 {
 public:
@@ -110,7 +110,7 @@
     {
         getrlimit(RLIMIT_NOFILE, &m_before);
         rlimit limit = m_before;
-        // The lowest that is free is the next to be opened.
+        // The lowest free descriptor is the next to be opened.
         const int next = dup(STDIN_FILENO);
         close(next);
         limit.rlim_cur = static_cast<rlim_t>(next);
@@ -126,10 +126,10 @@
 
 } // namespace
 
-// A buyer asks again on the connection of the last answer, just as the VM stops to accept. On a
-// busy VM the request has been read from the socket and waits for its turn among other work; the
-// connection still counts as idle and is closed. The buyer's request was read whole and gets no
-// answer.
+// A buyer sends a request on the connection of the previous answer just as the VM stops accepting.
+// On a busy VM the request has been read from the socket, but its fiber still waits behind other
+// work, so the connection still counts as idle. If it is closed, the request was read completely
+// and gets no answer.
 TEST_CASE("a planned stop closes no connection whose request has been read")
 {
     FiberLoop loop("serving");
@@ -151,7 +151,7 @@
     const std::size_t size = asio::read_until(caller, asio::dynamic_buffer(input), "/first");
     input.erase(0, size);
 
-    // Other work that is always ready: the event loop gets its turns in between.
+    // Other work that is always ready: the event loop is polled in between.
     bool isBusy = true;
     loop.spawn([&isBusy] {
         while (isBusy)
@@ -179,9 +179,9 @@
     CHECK(input.ends_with("/second"));
 }
 
-// A caller writes two requests at once on one connection, and the VM gets its signal to stop while
-// the first runs. Both were read whole. The first answer says that the connection closes, the
-// second request is dropped, and its caller waits for an answer that never comes.
+// A caller sends two requests at once on one connection, and the VM is told to stop while the first
+// one runs. Both were read completely. If the first answer announced the close, the second request
+// would be dropped, and its caller would wait for an answer that never arrives.
 TEST_CASE("a planned stop answers a request that was read behind the one under way")
 {
     FiberLoop loop("serving");
@@ -214,9 +214,9 @@
     CHECK(answers.ends_with("/second"));
 }
 
-// A stream began before the signal to stop, so that its caller was told that the connection stays.
-// The VM stops to accept before the stream ends; as it ends, the caller's next request is there,
-// and is reset with the connection although nothing had told the caller not to send it.
+// A stream began before the stop signal, so its header told the caller that the connection stays
+// open. The VM stops accepting before the stream ends. When it ends, the caller's next request has
+// arrived; closing the connection would reset it although nothing told the caller not to send it.
 TEST_CASE("a planned stop answers a request that came with the end of a stream")
 {
     FiberLoop loop("serving");
@@ -229,7 +229,7 @@
             return;
         }
         responder.begin(200, {});
-        // Blocks the loop, so that it can't take in what comes meanwhile.
+        // Blocks the loop, so that it can't read what arrives meanwhile.
         isBegun.set_value();
         nextIsWritten.wait();
         responder.finish();
@@ -245,9 +245,9 @@
     CHECK(caller.readToEnd().ends_with("/next"));
 }
 
-// A kept connection has been idle for as long as it may. On a busy VM its end is due, but other
-// work comes first, and a buyer's request arrives before the connection is closed: it is reset,
-// unread. The same moment comes in each stop, for connections that bring their first request late.
+// A kept-alive connection has reached its idle timeout. On a busy VM other work runs before the
+// connection is closed, and a buyer's request arrives meanwhile: it would be reset unread. The same
+// happens at each stop to connections whose first request arrives late.
 TEST_CASE("a connection is not closed as idle over a request that has come")
 {
     constexpr auto idleTimeout = std::chrono::milliseconds(300);
@@ -260,7 +260,8 @@
     HttpServer server = serverOn(loop, sendTarget, limits);
     loop.start();
     std::string answer;
-    // Where this thread was held up, the connection was closed before; then it is played again.
+    // If this thread was delayed, the connection was closed before the write; then the attempt is
+    // repeated.
     for (bool isPlayed = false; !isPlayed;) {
         Caller caller(server);
         if (isKept) {
@@ -269,10 +270,10 @@
         }
         while (server.connections() == 0)
             std::this_thread::yield();
-        // Its fiber, which was started before, waits by now.
+        // The connection's fiber was started before this call, so it is waiting by now.
         loop.call([] {});
         const auto idleEnd = std::chrono::steady_clock::now() + idleTimeout;
-        // Other work that is always ready: the event loop gets its turns in between.
+        // Other work that is always ready: the event loop is polled in between.
         bool isBusy = true;
         loop.spawn([&isBusy] {
             while (isBusy)
@@ -281,7 +282,8 @@
         std::promise<void> isWritten;
         asio::post(loop.context(), [&] {
             std::this_thread::sleep_until(idleEnd + margin);
-            // In these turns the idle time's end is found; the connection's fiber runs after them.
+            // The loop detects the idle timeout during these turns; the connection's fiber runs
+            // after them.
             afterTurns(loop, turns, [&] {
                 isPlayed = caller.isOpen();
                 if (isPlayed)
@@ -296,9 +298,9 @@
     CHECK(answer.ends_with("/late"));
 }
 
-// A rush has used up a VM's descriptors when it is stopped: what the kernel accepted for it can't
-// be taken in at that moment. The VM stops to accept nevertheless, and the kernel resets those
-// callers' connections, with their requests in them.
+// A burst of connections has used up a VM's descriptors when it is stopped, so the connections that
+// the kernel completed can't be accepted at that moment. If the VM closed its socket nevertheless,
+// the kernel would reset these connections together with their requests.
 TEST_CASE("a planned stop waits for descriptors to take in what was accepted")
 {
     FiberLoop loop("serving");
@@ -312,7 +314,7 @@
             caller.write(requestFor("/waiting"));
         }
         server.stopAccepting();
-        // The loop has dealt with it.
+        // After these turns the loop has processed the stop.
         for (int turn = 0; turn < turns; ++turn)
             loop.call([] {});
         CHECK(server.hasCallers());
--- a/tests/src/unit-http-term.cpp
+++ b/tests/src/unit-http-term.cpp
@@ -29,14 +29,14 @@
 
 namespace {
 
-/// Longer than the proxy takes to pass on what it held when a link heals.
+/// Longer than the proxy takes to pass on held data after a link heals.
 constexpr auto settleTime = 150ms;
 constexpr auto patience = 3s;
-/// Long enough for a step of the test to come first.
+/// Long enough for a step of the test to complete first.
 constexpr auto firstTerm = 1s;
 constexpr auto endlessTerm = 60s;
 
-/// Accepts one connection after the other and counts the bytes that come.
+/// Accepts connections one after another and counts the received bytes.
 class CountingServer
 {
 public:
@@ -95,7 +95,7 @@
     return true;
 }
 
-/// A client whose path to a server can be silenced.
+/// A client whose path to a server can be interrupted.
 struct SilentPath
 {
     SilentPath() { m_loop.start(); }
@@ -118,7 +118,7 @@
         return promise->get_future();
     }
 
-    /// Lets through what was held back and still may come.
+    /// Restores the path and waits until held data that can still arrive has arrived.
     void heal()
     {
         m_proxy.set(LinkFault::None);
@@ -131,7 +131,8 @@
     HttpClient m_client{m_loop};
 };
 
-/// A term that begins as the first byte may go out, and that a test moves on the loop's thread.
+/// A delivery deadline that starts when the first byte may be sent, and that a test moves on the
+/// loop's thread.
 class MovableTerm : public CallTerm
 {
 public:
@@ -160,7 +161,7 @@
     Duration m_longestConnecting = patience;
 };
 
-/// Takes in no connection, so that one more has to wait.
+/// Accepts no connection, so that one more has to wait.
 class FullListener
 {
 public:
@@ -173,7 +174,7 @@
             socket.open(tcp::v4());
             socket.non_blocking(true);
             const tcp::endpoint endpoint = m_acceptor.local_endpoint();
-            // The library's own call would wait for the outcome.
+            // The library's connect() would wait for the result.
             ::connect(socket.native_handle(), endpoint.data(),
                       static_cast<socklen_t>(endpoint.size()));
         }
@@ -188,7 +189,7 @@
                                          tcp::socket(m_context)};
 };
 
-/// Reads when it is told to, and takes in little before.
+/// Reads only on demand, and has a minimal receive buffer until then.
 class LazyServer
 {
 public:
@@ -211,7 +212,7 @@
         return call;
     }
 
-    /// Reads the head and a body.
+    /// Reads the header and a body.
     void readBody(std::size_t size)
     {
         accept();
@@ -227,7 +228,7 @@
         asio::write(m_socket,
                     asio::buffer(std::string_view("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")));
     }
-    /// Reads until the connection ends in any way; returns how much came.
+    /// Reads until the connection ends in any way; returns the number of bytes received.
     std::size_t readToEnd()
     {
         accept();
@@ -253,7 +254,7 @@
 
 TEST_CASE("a request that was given up doesn't arrive when its path heals")
 {
-    // Closing in order let what the kernel held go out after the call had failed.
+    // An orderly close would let the kernel send its buffered data after the call had failed.
     SilentPath path;
     path.m_proxy.set(LinkFault::CutToTarget);
     HttpCall call = path.call();
@@ -290,7 +291,7 @@
 
 TEST_CASE("a request doesn't go out once its term is over")
 {
-    // A connection that came about late carried a request to an upstream that had left meanwhile.
+    // A connection that opened late would carry the request to an upstream that has left meanwhile.
     SilentPath path;
     HttpCall call = path.call();
     const auto term = std::make_shared<MovableTerm>(1s);
@@ -315,7 +316,8 @@
 
 TEST_CASE("a connection that is awaited ends with the term")
 {
-    // The attempt held its request for the whole time to connect, though it could go elsewhere.
+    // The attempt would hold its request for the whole connect timeout, although the request could
+    // go elsewhere.
     FullListener listener;
     FiberLoop loop("http");
     loop.start();
@@ -338,7 +340,7 @@
 
 TEST_CASE("what has not arrived within its term is taken back")
 {
-    // A request lay in the send buffer until after its upstream had left, and went out then.
+    // A request in the send buffer would be delivered after its upstream has left.
     const std::size_t size = GENERATE(std::size_t{8000}, std::size_t{6} * 1024 * 1024);
     LazyServer server;
     FiberLoop loop("http");
@@ -387,7 +389,8 @@
 
 TEST_CASE("a request that has arrived outlasts its term")
 {
-    // An upstream that leaves finishes what it has: ending that would run it in vain.
+    // An upstream that leaves finishes the requests that it has received: aborting one would waste
+    // its run.
     constexpr std::size_t size = 8000;
     LazyServer server;
     FiberLoop loop("http");
--- a/tests/src/unit-http.cpp
+++ b/tests/src/unit-http.cpp
@@ -34,7 +34,7 @@
     {}
 
     void write(std::string_view text) { asio::write(m_socket, asio::buffer(text)); }
-    /// Returns what comes up to and with the mark.
+    /// Returns the input up to and including the mark.
     std::string readUntil(std::string_view mark)
     {
         const std::size_t size = asio::read_until(m_socket, asio::dynamic_buffer(m_input), mark);
@@ -42,7 +42,7 @@
         m_input.erase(0, size);
         return text;
     }
-    /// Returns all that comes until the other side closes.
+    /// Returns all input until the other side closes.
     std::string readToEnd()
     {
         boost::system::error_code error;
@@ -75,7 +75,7 @@
     tcp::acceptor m_acceptor{m_context, {asio::ip::make_address("127.0.0.1"), 0}};
 };
 
-/// Runs work in a fiber of the loop; the test's thread goes on meanwhile.
+/// Runs work in a fiber of the loop; the test's thread continues meanwhile.
 template <typename Work>
 auto begin(FiberLoop &loop, Work work)
 {
@@ -243,8 +243,8 @@
 TEST_CASE("a cut answer is never taken for a whole one")
 {
     // An engine's VM is reclaimed in the middle of an answer. The kernel closes its connection as
-    // after a proper end, and a reader that takes the close for the end would hand the caller half
-    // a quote as a whole one.
+    // after a proper end; a reader that takes the close for the end would pass half a quote to the
+    // caller as a complete one.
     FiberLoop loop("http");
     loop.start();
     RawNetwork network;
@@ -331,8 +331,8 @@
 
 TEST_CASE("a connection serves the next request only after a clean end")
 {
-    // A buyer gives up while his answer is on its way. The answer still comes; were the connection
-    // used again, the next buyer would read the first one's answer.
+    // A buyer cancels while the answer is in transit. The answer still arrives; if the connection
+    // were reused, the next buyer would read the first one's answer.
     FiberLoop loop("http");
     loop.start();
     RawNetwork network;
@@ -400,8 +400,8 @@
 
 TEST_CASE("the handler learns that its caller has gone")
 {
-    // A parent closes the page while a long report is being written. Unless the entry VM notices,
-    // the engine goes on generating for nobody.
+    // A parent closes the page while a long report is being written. If the entry VM doesn't
+    // notice, the engine keeps generating for nobody.
     FiberLoop loop("http");
     loop.start();
     RawNetwork network;
@@ -414,7 +414,7 @@
         noticed.set_value(responder.callerGone() && !responder.write("late"));
     });
     RawPeer caller = network.connect(server.port());
-    // Bytes of a next request don't hide the close behind them.
+    // Bytes of a further request don't hide the close that follows them.
     caller.write("GET /1 HTTP/1.1\r\n\r\nGET /2 HTT");
     caller.readUntil(headEnd);
     caller.close();
