--- a/include/gypsumdale/runtime/fiber_loop.hpp
+++ b/include/gypsumdale/runtime/fiber_loop.hpp
@@ -35,9 +35,9 @@
     /// called from the loop itself.
     void stop();
 
-    /// Starts a fiber on this loop that runs the work, which must not throw. Fibers of a loop must
-    /// be started only here, because stop() waits for fibers that it does not know of. Safe from
-    /// any thread. Complexity: constant.
+    /// Starts a fiber on this loop that runs the work, which must not throw. Every fiber of a loop
+    /// must be started with this function: stop() would hang on a waiting fiber that it does not
+    /// know of. Safe from any thread. Complexity: constant.
     void spawn(std::function<void()> work);
 
     /// Runs the work in a fiber of this loop, waits for it and returns its result. Waiting suspends
