--- a/include/gypsumdale/core/clock.hpp
+++ b/include/gypsumdale/core/clock.hpp
@@ -8,8 +8,8 @@
 
 using Duration = std::chrono::nanoseconds;
 
-/// The clock type behind TimePoint. It has no now() of its own: the time comes from a Clock object,
-/// which tests pause and advance.
+/// Clock type of TimePoint. It has no now() function: the time comes from a Clock object, which
+/// tests can pause and advance.
 struct RuntimeClock
 {
     using duration = Duration;
@@ -24,21 +24,23 @@
 /// Milliseconds since 1970 in UTC, for records that other processes read.
 using WallMillis = std::int64_t;
 
-/// Tells the time. It runs from the start; a test pauses it and moves it by hand. Safe to read from
-/// any thread.
+/// Source of monotonic and wall-clock time. The clock runs from construction on; tests can pause it
+/// and advance it by hand. Reading is safe from any thread.
 class Clock
 {
 public:
-    /// Returns the monotonic time; while paused, the time at the pause plus all advances. Constant.
+    /// Returns the monotonic time; while paused, the time of the pause plus all advances.
+    /// Complexity: constant.
     TimePoint now() const;
 
-    /// Returns the time of day in UTC milliseconds; while paused it moves with now(). Constant.
+    /// Returns the wall-clock time in UTC milliseconds; while paused, it advances together with
+    /// now(). Complexity: constant.
     WallMillis wallNow() const;
 
-    /// Stops the clock where it is. Constant.
+    /// Pauses the clock at the current time. Has no effect on a paused clock. Complexity: constant.
     void pause();
 
-    /// Moves a paused clock forward; leaves a running one alone. Constant.
+    /// Advances a paused clock. Has no effect on a running clock. Complexity: constant.
     void advance(Duration step);
 
     bool isPaused() const { return m_paused.load(); }
@@ -49,7 +51,7 @@
     std::atomic<std::int64_t> m_pausedWall = 0;
 };
 
-/// Writes a duration as fractional milliseconds, for logs and metrics.
+/// Returns a duration as fractional milliseconds, for logs and metrics.
 inline double toMillis(Duration duration)
 {
     return std::chrono::duration<double, std::milli>(duration).count();
@@ -61,14 +63,14 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-/// Returns the duration of so many seconds, to the nearest nanosecond: 2.05 s cut off would be one
-/// short.
+/// Converts seconds to a duration, rounded to the nearest nanosecond. Truncating 2.05 s would give
+/// one nanosecond too few.
 inline Duration fromSeconds(double seconds)
 {
     return std::chrono::round<Duration>(std::chrono::duration<double>(seconds));
 }
 
-/// Returns the whole milliseconds of a duration, as messages between processes carry it.
+/// Returns a duration in whole milliseconds, truncated, as messages between processes carry it.
 inline std::int64_t wholeMillis(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
--- a/include/gypsumdale/core/error.hpp
+++ b/include/gypsumdale/core/error.hpp
@@ -5,8 +5,8 @@
 
 namespace gypsumdale {
 
-/// Stable numbers of everything that can go wrong. A number is never given to another meaning;
-/// docs/OPERATIONS.md lists each with what to do about it.
+/// Stable numeric ids of all errors. An id is never reused with another meaning; docs/OPERATIONS.md
+/// lists each error and the action to take.
 enum class ErrorId : int {
     // 1xx: settings
     SettingsUnreadable = 101,
@@ -18,7 +18,7 @@
     SettingsUnknownName = 107,
     SettingsDuplicate = 108,
     SettingsContradiction = 109,
-    // 2xx: what a caller sent
+    // 2xx: invalid requests
     RequestMalformed = 201,
     RequestTooLarge = 202,
     RequestTooSlow = 203,
@@ -50,7 +50,7 @@
     PlatformAnswerLost = 503,
     PlatformRefused = 504,
     PlatformNotFound = 505,
-    // 6xx: peers
+    // 6xx: peer nodes
     PeerUnreachable = 601,
     PeerMalformed = 602,
     PeerRefused = 603,
@@ -59,7 +59,7 @@
     JobFenced = 702,
     JobUnknown = 703,
     JobExpired = 704,
-    // 9xx: the process itself
+    // 9xx: process and connections
     AddressInUse = 901,
     ConnectionClosed = 902,
     Timeout = 903,
@@ -67,11 +67,11 @@
     Internal = 999,
 };
 
-/// Returns the short name of an error, as logs and answers carry it, such as "queue-full". Linear
-/// in the number of errors.
+/// Returns the short name of an error as logs and answers carry it, such as "queue-full".
+/// Complexity: linear in the number of errors.
 std::string_view errorName(ErrorId id);
 
-/// One failure: which, and a sentence for the person who reads it. Holds no secret and no prompt.
+/// An error id and a human-readable message. The message contains no secret and no prompt.
 struct Error
 {
     ErrorId m_id = ErrorId::Internal;
--- a/include/gypsumdale/core/finding.hpp
+++ b/include/gypsumdale/core/finding.hpp
@@ -7,7 +7,7 @@
 
 namespace gypsumdale {
 
-/// Where in a document something was found. Lines and columns count from 1; 0 means unknown.
+/// Position in a document. Lines and columns count from 1; 0 means unknown.
 struct Place
 {
     std::string m_document;
@@ -15,7 +15,7 @@
     int m_column = 0;
 };
 
-/// One thing wrong with a document that a person wrote. The hint is empty where there is none.
+/// Problem found in a document that a person wrote. The hint is empty if there is none.
 struct Finding
 {
     ErrorId m_id = ErrorId::Internal;
@@ -24,11 +24,11 @@
     std::string m_hint;
 };
 
-/// All that is wrong with a document, in the order of its lines.
+/// All problems found in a document, ordered by line.
 using Findings = std::vector<Finding>;
 
-/// Writes a finding as one line: "profiles.yaml:3:5: error 103 (unknown-key): ...". Linear in the
-/// texts.
+/// Formats a finding as one line: "profiles.yaml:3:5: error 103 (unknown-key): ...". Complexity:
+/// linear in the length of the texts.
 std::string toLine(const Finding &finding);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/core/ids.hpp
+++ b/include/gypsumdale/core/ids.hpp
@@ -8,8 +8,8 @@
 
 namespace gypsumdale {
 
-/// A name of one kind of thing, so that a member's name is never passed where an upstream's is
-/// meant.
+/// Strongly typed name. The tag makes names of different kinds, such as those of members and
+/// upstreams, incompatible types.
 template <typename Tag>
 class Id
 {
@@ -32,21 +32,23 @@
     std::string m_text;
 };
 
-/// One process of the system (an entry VM), such as "olten-a-1".
+/// Name of one process of the system (an entry VM), such as "olten-a-1".
 using NodeId = Id<struct NodeIdTag>;
-/// One process that serves requests: a model engine's runner or an instance of a plain service.
+/// Name of one process that serves requests: the runner of a model engine or an instance of a plain
+/// service.
 using UpstreamId = Id<struct UpstreamIdTag>;
-/// One machine of the fleet, by the cloud's name for it.
+/// Name of one machine of the fleet, as the cloud assigns it.
 using VmId = Id<struct VmIdTag>;
-/// A data centre; the cloud's zone for prices.
+/// Name of a data centre, which is also the zone by which the cloud sets prices.
 using DataCentreId = Id<struct DataCentreIdTag>;
 using RegionId = Id<struct RegionIdTag>;
-/// A member of the consortium, whose callers share one account and one share.
+/// Name of a consortium member. All callers of a member share one account and one share of the
+/// capacity.
 using MemberId = Id<struct MemberIdTag>;
-/// A client account: whose callers share one set of keys and one quota.
+/// Name of a client account. All callers of an account share one set of keys and one quota.
 using AccountId = Id<struct AccountIdTag>;
 using ProfileId = Id<struct ProfileIdTag>;
-/// A kind of upstream that requests name, such as "gypsum-llm" or "trade-app".
+/// Name of a kind of upstream, as requests specify it, such as "gypsum-llm" or "trade-app".
 using ServiceId = Id<struct ServiceIdTag>;
 using RequestId = Id<struct RequestIdTag>;
 using JobId = Id<struct JobIdTag>;
--- a/include/gypsumdale/core/log_level.hpp
+++ b/include/gypsumdale/core/log_level.hpp
@@ -4,7 +4,7 @@
 
 namespace gypsumdale {
 
-/// How much a log line matters. Settings name the least level that is written.
+/// Severity of a log line. The settings define the lowest level that is written.
 enum class LogLevel {
     Debug,
     Info,
@@ -19,11 +19,11 @@
         {LogLevel::Error, "error"},
 }};
 
-/// How a line is written.
+/// Output format of log lines.
 enum class LogFormat {
     /// key=value pairs.
     Logfmt,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 };
 
--- a/include/gypsumdale/core/names.hpp
+++ b/include/gypsumdale/core/names.hpp
@@ -8,11 +8,12 @@
 
 namespace gypsumdale {
 
-/// A table that gives each value of an enumeration its name on the wire, in settings and in logs.
+/// Table that maps each value of an enumeration to its name on the wire, in settings and in logs.
 template <typename Enum, std::size_t Size>
 using NameTable = std::array<std::pair<Enum, std::string_view>, Size>;
 
-/// Returns the name of a value, or "unknown" for one that the table lacks. Linear in the table.
+/// Returns the name of a value, or "unknown" if the table does not contain the value. Complexity:
+/// linear in the size of the table.
 template <typename Enum, std::size_t Size>
 constexpr std::string_view nameIn(const NameTable<Enum, Size> &table, Enum value)
 {
@@ -23,8 +24,8 @@
     return "unknown";
 }
 
-/// Returns the value that carries a name, or nothing for a name the table lacks. Linear in the
-/// table.
+/// Returns the value with the given name, or nothing if the table does not contain the name.
+/// Complexity: linear in the size of the table.
 template <typename Enum, std::size_t Size>
 constexpr std::optional<Enum> valueIn(const NameTable<Enum, Size> &table, std::string_view name)
 {
--- a/include/gypsumdale/core/registry.hpp
+++ b/include/gypsumdale/core/registry.hpp
@@ -10,30 +10,32 @@
 
 namespace gypsumdale {
 
-/// The plug-ins of one kind, by the name that settings choose them with. A plug-in is a source file
-/// that holds a Registration; linking the file is all it takes to add it.
+/// Registry of the plug-ins of one kind, by the name under which settings select them. A plug-in is
+/// a source file that defines a Registration object; linking the file adds the plug-in.
 ///
-/// Product is most often a std::variant of the alternatives, and Arguments what they are made from.
+/// Product is usually a std::variant of the alternatives; Arguments are the factory's parameters.
 template <typename Product, typename... Arguments>
 class Registry
 {
 public:
     using Factory = std::function<Product(Arguments...)>;
 
-    /// Returns the one registry of this kind. Filled before main() starts and only read after.
+    /// Returns the only registry of this kind. It is filled before main() starts and only read
+    /// afterwards.
     static Registry &instance()
     {
         static Registry registry;
         return registry;
     }
 
-    /// Adds a plug-in; a second one of the same name takes the place of the first. Logarithmic.
+    /// Adds a plug-in, replacing any plug-in of the same name. Complexity: logarithmic.
     void add(std::string name, Factory factory)
     {
         m_factories[std::move(name)] = std::move(factory);
     }
 
-    /// Makes the plug-in of that name, or nothing if there is none. Logarithmic.
+    /// Creates the plug-in of the given name, or returns nothing if there is none. Complexity:
+    /// logarithmic.
     std::optional<Product> make(std::string_view name, Arguments... arguments) const
     {
         const auto found = m_factories.find(std::string(name));
@@ -42,7 +44,8 @@
         return found->second(arguments...);
     }
 
-    /// Returns the names in order, for hints and help texts. Linear.
+    /// Returns the plug-in names in alphabetical order, for hints and help texts. Complexity:
+    /// linear.
     std::vector<std::string> names() const
     {
         std::vector<std::string> result;
@@ -55,8 +58,8 @@
     std::map<std::string, Factory> m_factories;
 };
 
-/// Registers one plug-in when its source file is linked:
-/// `static const Registration<Policy, Settings> registration{"name", makePolicy};`
+/// Registers a plug-in when its source file is linked: `static const Registration<Policy, Settings>
+/// registration{"name", makePolicy};`
 template <typename Product, typename... Arguments>
 struct Registration
 {
--- a/include/gypsumdale/core/result.hpp
+++ b/include/gypsumdale/core/result.hpp
@@ -7,22 +7,22 @@
 
 namespace gypsumdale {
 
-/// Either a value or the reason there is none.
+/// Either a value or the error that prevented it.
 template <typename T>
 using Result = std::variant<T, Error>;
 
-/// The value of a result that has nothing to say but that it worked.
+/// Value type of a result that carries no data on success.
 using Done = std::monostate;
 
-/// Tells whether a result holds a value. Constant.
+/// Returns whether a result holds a value. Complexity: constant.
 template <typename T>
 bool succeeded(const Result<T> &result)
 {
     return std::holds_alternative<T>(result);
 }
 
-/// Returns the value of a result that succeeded. Constant; throws std::bad_variant_access
-/// otherwise.
+/// Returns the value of a successful result. Throws std::bad_variant_access for a failed one.
+/// Complexity: constant.
 template <typename T>
 T &valueOf(Result<T> &result)
 {
@@ -41,14 +41,15 @@
     return std::get<T>(std::move(result));
 }
 
-/// Returns the error of a result that failed. Constant; throws std::bad_variant_access otherwise.
+/// Returns the error of a failed result. Throws std::bad_variant_access for a successful one.
+/// Complexity: constant.
 template <typename T>
 const Error &errorOf(const Result<T> &result)
 {
     return std::get<Error>(result);
 }
 
-/// Joins lambdas into one visitor for std::visit.
+/// Combines several lambdas into one visitor for std::visit.
 template <typename... Handlers>
 struct Overloaded : Handlers...
 {
