--- a/include/gypsumdale/core/registry.hpp
+++ b/include/gypsumdale/core/registry.hpp
@@ -58,8 +58,8 @@
     std::map<std::string, Factory> m_factories;
 };
 
-/// Registers a plug-in when its source file is linked: `static const Registration<Policy, Settings>
-/// registration{"name", makePolicy};`
+/// Registers a plug-in when its source file is linked:
+/// `static const Registration<Policy, Settings> registration{"name", makePolicy};`
 template <typename Product, typename... Arguments>
 struct Registration
 {
--- a/include/gypsumdale/observe/decision.hpp
+++ b/include/gypsumdale/observe/decision.hpp
@@ -10,10 +10,10 @@
 
 namespace gypsumdale {
 
-/// What the decision journal keeps the history of.
+/// Kind of object whose history the decision journal keeps.
 enum class DecisionSubject { Request, Upstream };
 
-/// What was decided or came to pass.
+/// Decision or event in the history of a request or an upstream.
 enum class Decision {
     // requests and jobs
     Received,
@@ -53,7 +53,7 @@
     Released,
 };
 
-/// Why it was decided; the detail says more where that is worth it.
+/// Reason for a decision; the event's detail adds specifics where they help.
 enum class DecisionReason {
     None,
     Profile,
@@ -90,20 +90,21 @@
     Internal,
 };
 
-/// Return the names as `explain` shows them, such as "claim-conflicted". Linear in the names.
+/// Return the names that `explain` shows, such as "claim-conflicted". Complexity: linear in the
+/// number of names.
 std::string_view decisionName(Decision decision);
 std::string_view decisionReasonName(DecisionReason reason);
 std::string_view decisionSubjectName(DecisionSubject subject);
 
-/// Return the value of a name that another node sent, or nothing for one that this version of the
-/// program does not know. Linear in the names.
+/// Return the value for a name received from another node, or nothing if this version of the
+/// program does not know the name. Complexity: linear in the number of names.
 std::optional<Decision> decisionFrom(std::string_view name);
 std::optional<DecisionReason> decisionReasonFrom(std::string_view name);
 
-/// Returns the subject of that name ("request", "upstream"), or nothing.
+/// Returns the subject kind with the given name ("request", "upstream"), or nothing.
 std::optional<DecisionSubject> decisionSubjectFrom(std::string_view name);
 
-/// One line of a history. The detail is for people; it holds no prompt, answer or credential.
+/// One event of a history. The detail is for people; it contains no prompt, answer or credential.
 struct DecisionEvent
 {
     WallMillis m_at = 0;
@@ -113,8 +114,8 @@
     std::string m_detail;
 };
 
-/// Writes a history as the admin interface answers it: `{"events":[{"atMillis","node","what",
-/// "why","detail"}]}`. Linear in the events.
+/// Formats a history as the admin interface returns it: `{"events":[{"atMillis","node","what",
+/// "why","detail"}]}`. Complexity: linear in the number of events.
 std::string toJson(const std::vector<DecisionEvent> &events);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/observe/decision_journal.hpp
+++ b/include/gypsumdale/observe/decision_journal.hpp
@@ -10,23 +10,23 @@
 
 namespace gypsumdale {
 
-/// How many events are kept. Requests and upstreams have a ring each, so that a rush of requests
-/// does not wash out what happened to the upstreams.
+/// Number of events that are kept. Requests and upstreams have a ring each, so that a burst of
+/// requests does not evict the events of upstreams.
 struct JournalLimits
 {
     std::size_t m_requestEvents = 32768;
     std::size_t m_upstreamEvents = 8192;
 };
 
-/// Longest detail in bytes; what exceeds it is cut.
+/// Maximum length of a detail in bytes. Longer details are truncated.
 constexpr std::size_t maxDecisionDetailBytes = 104;
 
-/// Longest id of a subject in bytes; an event of a longer one is not kept, as a cut id could mix
-/// the histories of two subjects.
+/// Maximum length of a subject's id in bytes. An event whose subject has a longer id is not kept,
+/// as a truncated id could mix the histories of two subjects.
 constexpr std::size_t maxDecisionSubjectBytes = 96;
 
-/// Remembers what this node decided and why, the latest events only, for `gypsumctl explain`.
-/// Belongs to the control thread. All memory is bounded by journalMemoryBound().
+/// Journal of the latest decisions of this node and their reasons, for `gypsumctl explain`. Used
+/// from the control thread only. Its memory is bounded by journalMemoryBound().
 class DecisionJournal
 {
 public:
@@ -35,28 +35,29 @@
     DecisionJournal(DecisionJournal &&) noexcept;
     DecisionJournal &operator=(DecisionJournal &&) noexcept;
 
-    /// Keeps one event about a request, in place of the oldest event about any request when the
-    /// ring is full. Constant on average.
+    /// Records an event of a request. If the ring is full, it replaces the oldest event of all
+    /// requests. Complexity: constant on average.
     void record(WallMillis at, const RequestId &request, Decision what,
                 DecisionReason why = DecisionReason::None, std::string_view detail = {});
 
-    /// Keeps one event about an upstream.
+    /// Records an event of an upstream.
     void record(WallMillis at, const UpstreamId &upstream, Decision what,
                 DecisionReason why = DecisionReason::None, std::string_view detail = {});
 
-    /// Returns the events still known about a subject, oldest first; none for an unknown one.
-    /// Linear in its events.
+    /// Returns the retained events of a subject, oldest first; none for an unknown subject.
+    /// Complexity: linear in the number of its events.
     std::vector<DecisionEvent> history(const RequestId &request) const;
     std::vector<DecisionEvent> history(const UpstreamId &upstream) const;
     std::vector<DecisionEvent> history(DecisionSubject subject, std::string_view id) const;
 
-    /// Returns the number of events kept now.
+    /// Returns the number of retained events.
     std::size_t size() const;
 
-    /// Returns the number of events that were not kept as their subject's id is too long.
+    /// Returns the number of events that were not recorded because the subject's id is too long.
     std::uint64_t refusedEvents() const;
 
-    /// Returns the bytes in use now, the nodes of the index counted. Linear in the subjects.
+    /// Returns the number of bytes in use, including the nodes of the index. Complexity: linear in
+    /// the number of subjects.
     std::size_t memoryBytes() const;
 
 private:
@@ -64,7 +65,7 @@
     std::unique_ptr<State> m_state;
 };
 
-/// Returns the most bytes a journal of these limits ever uses.
+/// Returns the maximum number of bytes that a journal with these limits uses.
 std::size_t journalMemoryBound(const JournalLimits &limits);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/observe/highest_value.hpp
+++ b/include/gypsumdale/observe/highest_value.hpp
@@ -7,11 +7,11 @@
 
 namespace gypsumdale {
 
-/// The highest of the values noted since it was last taken. Safe from any thread, without a lock.
+/// Maximum of the values recorded since the last read. Safe from any thread, without a lock.
 class HighestValue
 {
 public:
-    /// Takes in a value. Constant while few threads note at once.
+    /// Records a value. Complexity: constant while few threads record at the same time.
     void note(std::int64_t value)
     {
         std::int64_t highest = m_highest.load(std::memory_order_relaxed);
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Returns the highest value and forgets it; nothing if none was noted.
+    /// Returns the highest recorded value and resets it, or returns nothing if none was recorded.
     std::optional<std::int64_t> take()
     {
         const std::int64_t highest = m_highest.exchange(none, std::memory_order_relaxed);
--- a/include/gypsumdale/observe/latency_histogram.hpp
+++ b/include/gypsumdale/observe/latency_histogram.hpp
@@ -8,33 +8,34 @@
 
 namespace gypsumdale {
 
-/// The counts of a histogram at one moment. Bucket i holds the durations of at most m_upper[i] and
-/// more than the bound before it; the last bucket, which has no bound, holds the rest.
+/// Counts of a histogram at one moment. Bucket i counts the durations above the previous bound and
+/// up to m_upper[i]; the last bucket, which has no bound, counts all longer durations.
 struct LatencySnapshot
 {
     std::vector<Duration> m_upper;
     std::vector<std::uint64_t> m_counts;
     Duration m_sum{};
 
-    /// Returns the number of durations recorded. Linear in the buckets.
+    /// Returns the number of recorded durations. Complexity: linear in the number of buckets.
     std::uint64_t count() const;
 
-    /// Adds the counts of another histogram. Linear in the buckets.
+    /// Adds the counts of another histogram. Complexity: linear in the number of buckets.
     void merge(const LatencySnapshot &other);
 
-    /// Returns the duration that a share of the recorded ones (0 to 1) does not exceed, linear
-    /// within its bucket; the highest bound if it lies beyond that, and zero if nothing was
-    /// recorded. Off by at most the width of the bucket. Linear in the buckets.
+    /// Returns the quantile for a share from 0 to 1, interpolated linearly within its bucket.
+    /// Returns the highest bound if the quantile is beyond it, and zero if nothing was recorded.
+    /// The error is at most the width of the bucket. Complexity: linear in the number of buckets.
     Duration quantile(double share) const;
 
-    /// Returns the share of the durations that did not exceed a limit, linear within its bucket; 1
-    /// if nothing was recorded. Linear in the buckets.
+    /// Returns the share of the durations up to a limit, interpolated linearly within the limit's
+    /// bucket; 1 if nothing was recorded. Complexity: linear in the number of buckets.
     double shareWithin(Duration limit) const;
 };
 
-/// Counts durations in fixed buckets from 1 ms to 5 min, with bounds at the promises of today's
-/// profiles (51 ms between tokens, 0.35 s to the first). Safe from any thread: the buckets are
-/// atomic counters, so that recording takes no lock, and a reader sees each record at most once.
+/// Histogram of durations with fixed buckets from 1 ms to 5 min. The targets of the standard
+/// profiles (51 ms between tokens, 0.35 s to the first token) are bucket bounds. Safe from any
+/// thread: the buckets are atomic counters, so that recording takes no lock, and a reader sees each
+/// record at most once.
 class LatencyHistogram
 {
 public:
@@ -43,7 +44,8 @@
     LatencyHistogram(LatencyHistogram &&) noexcept;
     LatencyHistogram &operator=(LatencyHistogram &&) noexcept;
 
-    /// Counts one duration; a negative one counts as zero. Logarithmic in the buckets.
+    /// Records a duration; a negative one counts as zero. Complexity: logarithmic in the number of
+    /// buckets.
     void record(Duration duration);
 
     LatencySnapshot snapshot() const;
--- a/include/gypsumdale/observe/log.hpp
+++ b/include/gypsumdale/observe/log.hpp
@@ -15,8 +15,9 @@
 
 namespace gypsumdale {
 
-/// The name of a kind of event, such as "upstream-left". Made from a literal at compile time only,
-/// so that the names are few, carry nothing of a caller's and can be counted one by one.
+/// Name of a kind of event, such as "upstream-left". Constructible from a literal at compile time
+/// only, so that the set of names is small, contains no caller's text, and events can be counted by
+/// name.
 class LogEvent
 {
 public:
@@ -35,21 +36,24 @@
     std::string_view m_name;
 };
 
-/// Longest line in bytes, its newline included. No more than what a pipe takes in one piece
-/// (PIPE_BUF), so that lines of several threads and processes on one pipe never mix.
+/// Maximum length of a line in bytes, including its newline. It does not exceed PIPE_BUF, the most
+/// that a pipe accepts atomically, so that lines of several threads and processes on one pipe never
+/// mix.
 constexpr std::size_t maxLogLineBytes = 4096;
 
-/// Longest text of one field in bytes before escaping; what exceeds it is cut and marked by "...".
+/// Maximum length of a field's text in bytes before escaping. Longer texts are truncated and end in
+/// "...".
 constexpr std::size_t maxLogTextBytes = 512;
 
-/// Takes one whole line, its newline included. Returns false if it could not be taken.
+/// Accepts one complete line, including its newline. Returns false if the line could not be
+/// accepted.
 using LogSink = std::function<bool(std::string_view line)>;
 
-/// Returns the sink that writes each line to standard error by one write. It never waits: while
-/// the reader of the pipe has stopped reading, lines are refused rather than a thread held up.
+/// Returns a sink that writes each line to standard error with one write. It never blocks: while
+/// the reader of the pipe does not read, lines are refused.
 LogSink standardErrorSink();
 
-/// A sink that holds lines back for a moment, and what writes them.
+/// Buffering sink, with the function that flushes its buffer.
 struct BatchedSink
 {
     LogSink m_sink;
@@ -57,23 +61,24 @@
 };
 
 /// Returns a sink that writes lines to standard output in batches of up to 4 KB, the most that a
-/// pipe takes in one piece: at 40 lines a second, a system call a line was most of what logging
-/// cost. Like standardErrorSink() it never waits: while the reader has stopped, lines are refused.
+/// pipe accepts atomically. At 40 lines per second, one system call per line accounted for most of
+/// the cost of logging. Like standardErrorSink(), it never blocks: while the reader does not read,
+/// lines are refused.
 BatchedSink standardOutputSink();
 
-/// How many lines of one event may be written: a burst, then a rate. The rest are counted.
+/// Limit on the lines of one event: a burst, then a rate. Lines beyond it are only counted.
 struct LogRate
 {
     std::size_t m_burst = 20;
     double m_perSecond = 2.0;
 };
 
-/// Writes events as lines of key=value pairs (logfmt) or as JSON objects: the time in UTC, level,
-/// event, node and data centre of the process, then the event's fields. Safe from any thread; a
-/// call takes a lock for as long as a line takes to write.
+/// Writes events as lines of key=value pairs (logfmt) or as JSON objects: the time in UTC, the
+/// level, the event, the node and data centre of the process, then the event's fields. Safe from
+/// any thread; a call holds a lock while it writes its line.
 ///
-/// No line holds a credential: no field is made for one, and a text that contains what looks like
-/// one (see redactSecrets) has it replaced.
+/// No line contains a credential: there is no field for one, and text that looks like a credential
+/// is replaced (see redactSecrets).
 class Logger
 {
 public:
@@ -81,8 +86,8 @@
     Logger(const Logger &) = delete;
     Logger &operator=(const Logger &) = delete;
 
-    /// Writes one line, or counts it as suppressed when its event is over the rate. Linear in the
-    /// fields.
+    /// Writes one line, or counts it as suppressed if its event exceeds the rate. Complexity:
+    /// linear in the number of fields.
     void write(LogLevel level, LogEvent event, std::initializer_list<LogItem> fields = {});
 
     void debug(LogEvent event, std::initializer_list<LogItem> fields = {});
@@ -90,25 +95,25 @@
     void warning(LogEvent event, std::initializer_list<LogItem> fields = {});
     void error(LogEvent event, std::initializer_list<LogItem> fields = {});
 
-    /// Writes an event at level error with the error's number, name and text ahead of the fields.
+    /// Writes an event at level error, with the error's number, name and text before the fields.
     void failure(LogEvent event, const Error &error, std::initializer_list<LogItem> fields = {});
 
-    /// Writes one "log-suppressed" line for each event that has uncounted lines left over. To be
-    /// called every few seconds and at the end, as the end of a storm brings no further line that
-    /// could carry the count. Linear in the events.
+    /// Writes one "log-suppressed" line for each event with suppressed lines that were not reported
+    /// yet. Must be called every few seconds and at shutdown, as no further line that could carry
+    /// the count may follow a burst. Complexity: linear in the number of events.
     void reportSuppressed();
 
-    /// Writes what a batched sink holds back. To be called several times a second, so that a
-    /// process that is killed leaves its last lines but for those of a moment.
+    /// Flushes a batched sink. Must be called several times per second, so that a killed process
+    /// loses at most the lines of the last moment.
     void flush();
 
-    /// Tells whether a line of that level would be written. Constant.
+    /// Returns whether a line of the given level would be written. Complexity: constant.
     bool isEnabled(LogLevel level) const;
 
-    /// Returns the number of lines held back by the rate so far.
+    /// Returns the number of lines suppressed by the rate limit so far.
     std::uint64_t suppressedLines() const;
 
-    /// Returns the number of lines the sink did not take so far.
+    /// Returns the number of lines that the sink refused so far.
     std::uint64_t lostLines() const;
 
 private:
@@ -130,7 +135,7 @@
     LoggerBuilder &dataCentre(DataCentreId dataCentre);
     LoggerBuilder &rate(LogRate rate);
     LoggerBuilder &format(LogFormat format);
-    /// Takes the place of standard error.
+    /// Sets the sink. The default is standard error.
     LoggerBuilder &sink(LogSink sink);
     LoggerBuilder &sink(BatchedSink sink);
 
@@ -147,12 +152,13 @@
     std::function<void()> m_flush;
 };
 
-/// Begins every key that `gypsumctl keys new` makes, so that a key is known as one wherever it
-/// turns up by mistake.
+/// Prefix of every key that `gypsumctl keys new` creates, so that a key can be recognised wherever
+/// it appears by mistake.
 constexpr std::string_view secretKeyPrefix = "gypsum-key-";
 
-/// Returns the text with everything that looks like a credential replaced by "[redacted]": what
-/// follows "Bearer " or "Basic ", and keys that begin with secretKeyPrefix. Linear.
+/// Returns the text with everything that looks like a credential replaced by "[redacted]": the word
+/// after "Bearer " or "Basic ", and the rest of keys that begin with secretKeyPrefix. Complexity:
+/// linear in the length of the text.
 std::string redactSecrets(std::string_view text);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/observe/log_field.hpp
+++ b/include/gypsumdale/observe/log_field.hpp
@@ -9,8 +9,8 @@
 
 namespace gypsumdale {
 
-/// The keys a log line may carry. The set is closed so that a caller's words never become a key,
-/// and so that no key exists for a credential, a prompt or an answer.
+/// Keys of the fields in a log line. The set is closed, so that a caller's text never becomes a key
+/// and no key exists for a credential, a prompt or an answer.
 enum class LogField {
     Node,
     DataCentre,
@@ -83,14 +83,15 @@
     UnacknowledgedBytes,
 };
 
-/// Returns the key that stands in the line, such as "data_centre". Linear in the keys.
+/// Returns the key as written in a line, such as "data_centre". Complexity: linear in the number of
+/// keys.
 std::string_view logFieldName(LogField field);
 
-/// What a field holds: text is quoted, escaped, redacted and cut when it is written.
+/// Value of a field. Text is quoted, escaped, redacted and truncated when it is written.
 using LogValue = std::variant<std::string_view, std::int64_t, double, bool>;
 
-/// One field of a log line. It refers to the caller's text and so must not outlive the call it is
-/// passed to. An id is its own field: `RequestId("r-1")` becomes request=r-1.
+/// One field of a log line. It refers to the caller's text and therefore must not outlive the call
+/// it is passed to. An id converts to its own field: `RequestId("r-1")` becomes request=r-1.
 struct LogItem
 {
     LogItem(LogField field, std::string_view text)
@@ -117,7 +118,8 @@
     LogItem(LogField field, const Id<Tag> &id)
         : LogItem(field, std::string_view(id.text()))
     {}
-    // The implicit conversions are what makes a call read as a list of facts.
+    // The conversions from ids are implicit, so that a call can list ids without naming their
+    // fields.
     LogItem(const NodeId &id)
         : LogItem(LogField::Node, id)
     {}
--- a/include/gypsumdale/observe/metric_names.hpp
+++ b/include/gypsumdale/observe/metric_names.hpp
@@ -5,20 +5,20 @@
 
 namespace gypsumdale {
 
-/// Times kept as a histogram for each member and for each class, which is a request's profile.
+/// Latencies recorded as a histogram per member and per class. A request's class is its profile.
 enum class Latency {
-    /// From the arrival of a request to the first token handed to its caller.
+    /// From the arrival of a request to the first token sent to its caller.
     FirstToken,
-    /// Between two tokens handed to a caller.
+    /// Between two consecutive tokens sent to a caller.
     BetweenTokens,
-    /// From admission to the choice of an upstream.
+    /// From admission to the selection of an upstream.
     Queueing,
     /// From the arrival of a request to the end of its answer.
     Total,
 };
 constexpr std::size_t latencyCount = 4;
 
-/// What is counted for each member and for each class.
+/// Counters per member and per class.
 enum class RequestCounter {
     Received,
     Done,
@@ -35,7 +35,7 @@
 };
 constexpr std::size_t requestCounterCount = 12;
 
-/// What is counted for the process.
+/// Counters of the process.
 enum class Counter {
     Retries,
     RetriesDenied,
@@ -89,8 +89,8 @@
 };
 constexpr std::size_t counterCount = 49;
 
-/// What is measured of the process at the moment. A gauge that was never set is not shown, so that
-/// no reader takes a missing measurement for a zero.
+/// Current measurements of the process. A gauge that was never set is omitted, so that a missing
+/// measurement is not mistaken for zero.
 enum class Gauge {
     Ready,
     Draining,
@@ -116,8 +116,8 @@
 };
 constexpr std::size_t gaugeCount = 21;
 
-/// Return the names that the exposition carries, such as "gypsumdale_retries_total". Linear in
-/// the names of that kind.
+/// Return the names used in the exposition, such as "gypsumdale_retries_total". Complexity: linear
+/// in the number of names of that kind.
 std::string_view latencyName(Latency latency);
 std::string_view requestCounterName(RequestCounter counter);
 std::string_view counterName(Counter counter);
--- a/include/gypsumdale/observe/metrics.hpp
+++ b/include/gypsumdale/observe/metrics.hpp
@@ -16,18 +16,18 @@
 
 namespace gypsumdale {
 
-/// How many members and classes have series of their own. Those that come later are summed
-/// under "other", so that a misconfigured or hostile caller can't grow the set without end.
+/// Limits on the number of members and classes with series of their own. Later ones are summed
+/// under "other", so that a misconfigured or hostile caller can't make the set grow without bound.
 struct MetricsLimits
 {
     std::size_t m_members = 32;
     std::size_t m_profiles = 8;
 };
 
-/// The label of members and classes beyond the limits.
+/// Label of the members and classes beyond the limits.
 constexpr std::string_view otherSeriesName = "other";
 
-/// Times and counts of one member, or of one class. Safe from any thread, without a lock.
+/// Latencies and counts of one member or of one class. Safe from any thread, without a lock.
 class RequestMeasures
 {
 public:
@@ -41,9 +41,9 @@
     std::array<std::atomic<std::uint64_t>, requestCounterCount> m_counters{};
 };
 
-/// Where a request of a member and class is counted: with its member and with its class. Not for
-/// each pair of both: pairs are as many as the product, and the page has to pass a slow link. Safe
-/// from any thread, without a lock.
+/// Series in which a request is counted: those of its member and those of its class. There is no
+/// series per pair of member and class: the number of pairs is the product of both, and the metrics
+/// page has to pass a slow link. Safe from any thread, without a lock.
 class RequestSeries
 {
 public:
@@ -62,10 +62,11 @@
 
 /// All metrics of one process.
 ///
-/// Traffic threads share one set of relaxed atomic counters. A set per thread, merged when read,
-/// was weighed: it saves contention that this rate does not have (about 4,000 tokens a second on a
-/// node at the planned peak), costs each thread a copy of every series, and can hold the bound on
-/// series only for each thread. A request looks its series up once and keeps the reference.
+/// Traffic threads share one set of relaxed atomic counters. The alternative, one set per thread
+/// merged on reading, saves contention that does not exist at this rate (about 4,000 tokens per
+/// second on a node at the planned peak), costs each thread a copy of every series, and can enforce
+/// the limit on the number of series only per thread. A request looks up its series once and keeps
+/// the reference.
 class Metrics
 {
 public:
@@ -74,37 +75,40 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
-    /// Counts an event of the process. Constant, no lock, any thread.
+    /// Increments a counter of the process. Complexity: constant. Takes no lock; any thread.
     void add(Counter counter, std::uint64_t amount = 1);
 
-    /// Sets a counter that is kept elsewhere, such as the lines a logger lost. Constant, no lock.
+    /// Sets a counter that is maintained elsewhere, such as the number of lines a logger lost.
+    /// Complexity: constant. Takes no lock.
     void assign(Counter counter, std::uint64_t total);
 
-    /// Sets what is measured at the moment. Constant, no lock, any thread.
+    /// Sets the current value of a gauge. Complexity: constant. Takes no lock; any thread.
     void set(Gauge gauge, std::int64_t value);
 
-    /// Says that there is no measurement at the moment. Constant, no lock, any thread.
+    /// Marks a gauge as having no current value. Complexity: constant. Takes no lock; any thread.
     void clear(Gauge gauge);
 
-    /// Counts an answer that ended in this error. Constant, no lock, any thread.
+    /// Counts an answer that ended in the given error. Complexity: constant. Takes no lock; any
+    /// thread.
     void countError(ErrorId id);
 
-    /// Returns the series of a member and class, which lives as long as this object. Takes a lock;
-    /// logarithmic in the series. Any thread.
+    /// Returns the series of a member and class. The reference stays valid for the lifetime of this
+    /// object. Takes a lock; any thread. Complexity: logarithmic in the number of series.
     RequestSeries &series(const MemberId &member, const ProfileId &profile);
 
     std::uint64_t value(Counter counter) const;
     std::int64_t value(Gauge gauge) const;
 
-    /// Returns one kind of latency summed over all classes. Linear in the classes.
+    /// Returns one kind of latency summed over all classes. Complexity: linear in the number of
+    /// classes.
     LatencySnapshot total(Latency latency) const;
 
-    /// Returns for how many members and classes there are measures, which never exceeds members + 1
-    /// and profiles + 1 together.
+    /// Returns the number of members and classes that have measures of their own. It never exceeds
+    /// members + 1 and profiles + 1 together.
     std::size_t measuresCount() const;
 
-    /// Writes everything in the text exposition format, version 0.0.4, to be served as
-    /// metricsContentType. Linear in members and classes.
+    /// Returns all metrics in the text exposition format, version 0.0.4, to be served as
+    /// metricsContentType. Complexity: linear in the number of members and classes.
     std::string expose() const;
 
 private:
@@ -112,7 +116,7 @@
     std::unique_ptr<State> m_state;
 };
 
-/// The media type of what Metrics::expose() writes.
+/// Media type of the text that Metrics::expose() returns.
 constexpr std::string_view metricsContentType = "text/plain; version=0.0.4; charset=utf-8";
 
 } // namespace gypsumdale
--- a/include/gypsumdale/observe/utc_text.hpp
+++ b/include/gypsumdale/observe/utc_text.hpp
@@ -6,7 +6,8 @@
 
 namespace gypsumdale {
 
-/// Writes a time of day as people and log tools read it: "2026-12-02T18:44:13.072Z". Constant.
+/// Formats a wall-clock time as an ISO 8601 text for people and log tools:
+/// "2026-12-02T18:44:13.072Z". Complexity: constant.
 std::string toUtcText(WallMillis at);
 
 } // namespace gypsumdale
--- a/src/observe/detail/event_ring.hpp
+++ b/src/observe/detail/event_ring.hpp
@@ -13,7 +13,7 @@
 
 namespace gypsumdale::detail {
 
-/// Counts the bytes that containers hold, so that a bound on memory can be tested.
+/// Memory resource that counts the allocated bytes, so that a memory bound can be tested.
 class CountingResource : public std::pmr::memory_resource
 {
 public:
@@ -21,15 +21,16 @@
 
 private:
     void *do_allocate(std::size_t bytes, std::size_t alignment) override;
-    void do_deallocate(void *place, std::size_t bytes, std::size_t alignment) override;
+    void do_deallocate(void *memory, std::size_t bytes, std::size_t alignment) override;
     bool do_is_equal(const std::pmr::memory_resource &other) const noexcept override;
 
     std::size_t m_bytes = 0;
 };
 
-/// The latest events of one kind of subject, in a ring of slots. The slots of one subject are
-/// chained from its oldest to its newest, so that a history is found without a search. The slot
-/// overwritten next is the oldest of all, hence the first of its subject's chain.
+/// Ring buffer of the latest events of one kind of subject. The slots of a subject are linked from
+/// the oldest to the newest, so that its history is found without a search. The slot that is
+/// overwritten next holds the oldest event of all and is therefore the first in its subject's
+/// chain.
 class EventRing
 {
 public:
@@ -37,27 +38,28 @@
     EventRing(const EventRing &) = delete;
     EventRing &operator=(const EventRing &) = delete;
 
-    /// Constant on average.
+    /// Records an event, replacing the oldest one if the ring is full. Complexity: constant on
+    /// average.
     void record(std::string_view subject, WallMillis at, Decision what, DecisionReason why,
                 std::string_view detail);
 
-    /// Returns the events of a subject, oldest first. Linear in them.
+    /// Returns the events of a subject, oldest first. Complexity: linear in their number.
     std::vector<DecisionEvent> history(std::string_view subject, const NodeId &node) const;
 
     std::size_t size() const { return m_slots.size(); }
     std::size_t memoryBytes() const { return m_memory.bytes(); }
 
-    /// Returns the most bytes that a ring of this limit ever uses.
+    /// Returns the maximum number of bytes that a ring with this limit uses.
     static std::size_t memoryBound(std::size_t limit);
 
 private:
-    using Place = std::uint32_t;
-    static constexpr Place noPlace = UINT32_MAX;
+    using SlotIndex = std::uint32_t;
+    static constexpr SlotIndex noSlot = UINT32_MAX;
 
     struct Chain
     {
-        Place m_first = noPlace;
-        Place m_last = noPlace;
+        SlotIndex m_first = noSlot;
+        SlotIndex m_last = noSlot;
     };
     struct TextHash
     {
@@ -70,23 +72,23 @@
     using Index = std::pmr::unordered_map<std::pmr::string, Chain, TextHash, std::equal_to<>>;
     struct Slot
     {
-        /// The index entry that this slot is chained to; entries of the map stay where they are.
+        /// Index entry to whose chain this slot belongs. Entries of the map do not move.
         Index::value_type *m_entry = nullptr;
         WallMillis m_at = 0;
-        Place m_next = noPlace;
+        SlotIndex m_next = noSlot;
         Decision m_what = Decision::Received;
         DecisionReason m_why = DecisionReason::None;
         std::uint8_t m_detailBytes = 0;
         std::array<char, maxDecisionDetailBytes> m_detail{};
     };
 
-    Place takeSlot();
+    SlotIndex takeSlot();
     void unchain(const Slot &slot);
     Index::value_type &entryOf(std::string_view subject);
-    void append(Index::value_type &entry, Place place);
+    void append(Index::value_type &entry, SlotIndex index);
 
     std::size_t m_limit;
-    Place m_oldest = 0;
+    SlotIndex m_oldest = 0;
     CountingResource m_memory;
     Index m_index;
     std::pmr::vector<Slot> m_slots;
--- a/src/observe/detail/exposition.hpp
+++ b/src/observe/detail/exposition.hpp
@@ -9,25 +9,25 @@
 
 namespace gypsumdale::detail {
 
-/// Writes a label's value: quotes, backslashes and newlines escaped, and what is not printable
-/// ASCII replaced by '_', so that an id can't break the format.
+/// Escapes a label's value: escapes quotes, backslashes and newlines, and replaces characters other
+/// than printable ASCII by '_', so that an id can't break the format.
 std::string escapeLabel(std::string_view value);
 
-/// Writes metrics in the text exposition format, version 0.0.4.
+/// Writer for metrics in the text exposition format, version 0.0.4.
 class Exposition
 {
 public:
-    /// Begins a metric with its HELP, unless that is empty, and TYPE lines.
+    /// Starts a metric with its HELP line, unless the help text is empty, and its TYPE line.
     void begin(std::string_view name, std::string_view type, std::string_view help);
 
     /// Writes one sample. The labels are `name="value"` pairs joined by commas, or empty.
     void sample(std::string_view name, std::string_view labels, std::uint64_t value);
     void sample(std::string_view name, std::string_view labels, std::int64_t value);
 
-    /// Writes the cumulated buckets, the sum in seconds, of whole milliseconds, and the count of a
-    /// histogram. Of the buckets those with a bound given in milliseconds, but for empty ones at
-    /// the beginning. Those at the end stay: without them the sum of a bucket over several VMs
-    /// would lack who had nothing that late.
+    /// Writes the cumulative buckets, the sum in seconds (truncated to whole milliseconds) and the
+    /// count of a histogram. Of the buckets, only those with the given bounds in milliseconds are
+    /// written. Leading empty buckets are omitted. Trailing ones are kept: without them, the sum of
+    /// a bucket over several VMs would miss the VMs that have no durations in that range.
     void histogram(std::string_view name, std::string_view labels, const LatencySnapshot &counts,
                    std::span<const int> shownMillis);
 
--- a/src/observe/detail/log_limiter.hpp
+++ b/src/observe/detail/log_limiter.hpp
@@ -11,8 +11,8 @@
 
 namespace gypsumdale::detail {
 
-/// Holds the lines of each event to a rate (a token bucket for each event name). Its size is
-/// bounded by the number of event names, which are literals.
+/// Rate limiter for log lines, with a token bucket per event name. Its size is bounded by the
+/// number of event names, which are literals.
 class LogLimiter
 {
 public:
@@ -20,17 +20,17 @@
         : m_rate(rate)
     {}
 
-    /// Tells whether a line of the event may be written now, and counts it as suppressed if not.
-    /// Logarithmic in the events.
+    /// Returns whether a line of the event may be written now, and counts it as suppressed if not.
+    /// Complexity: logarithmic in the number of events.
     bool admit(std::string_view event, TimePoint now);
 
-    /// Returns the number of lines suppressed since the last call, and starts again from zero.
+    /// Returns the number of lines of an event suppressed since the last call, and resets it.
     std::uint64_t takeSuppressed(std::string_view event);
 
-    /// Returns the same for all events that have any.
+    /// Returns the suppressed lines of all events that have any, and resets them.
     std::vector<std::pair<std::string_view, std::uint64_t>> takeAllSuppressed();
 
-    /// Returns the number of lines ever suppressed.
+    /// Returns the total number of suppressed lines.
     std::uint64_t totalSuppressed() const { return m_total; }
 
 private:
--- a/src/observe/detail/log_line.cpp
+++ b/src/observe/detail/log_line.cpp
@@ -32,8 +32,8 @@
 
 std::string writeText(std::string_view text, LogFormat format)
 {
-    // Cut before redaction: a credential is known by what stands before it, so that its first part
-    // is still found when the cut takes away the rest.
+    // Truncation comes before redaction: a credential is recognised by its prefix, so that its
+    // first part is still found if the rest is truncated.
     std::string result = redactSecrets(text.substr(0, maxLogTextBytes));
     if (text.size() > maxLogTextBytes)
         result += cutMark;
--- a/src/observe/detail/log_line.hpp
+++ b/src/observe/detail/log_line.hpp
@@ -8,8 +8,8 @@
 
 namespace gypsumdale::detail {
 
-/// Puts a log line together, never longer than maxLogLineBytes: a field that does not fit is left
-/// out and the line ends in truncated=true.
+/// Builder of a log line that is never longer than maxLogLineBytes. A field that does not fit is
+/// omitted and the line ends in truncated=true.
 class LogLine
 {
 public:
@@ -18,10 +18,10 @@
 
     void add(const LogItem &item);
 
-    /// Adds the pairs that all lines of a process share.
+    /// Adds preformatted fields, which all lines of a process share.
     void addRaw(std::string_view pairs);
 
-    /// Returns the line with its newline.
+    /// Returns the line including its newline.
     std::string finish();
 
 private:
@@ -30,12 +30,12 @@
     bool m_truncated = false;
 };
 
-/// Writes a text as a logfmt value: bare where that is unambiguous, otherwise in double quotes with
-/// quotes, backslashes, control characters and all that is not ASCII escaped, so that a value can
-/// neither begin a new line, pose as another field nor steer a terminal.
+/// Formats a text as a logfmt value: unquoted where that is unambiguous, otherwise in double quotes
+/// with quotes, backslashes, control characters and all characters other than ASCII escaped, so
+/// that a value can't start a new line, imitate another field or control a terminal.
 std::string quoteLogText(std::string_view text);
 
-/// Writes " key=value", or ",\"key\":value" for JSON.
+/// Formats a field as " key=value", or as ",\"key\":value" for JSON.
 std::string writeLogItem(const LogItem &item, LogFormat format = LogFormat::Logfmt);
 
 } // namespace gypsumdale::detail
--- a/src/observe/detail/metric_texts.hpp
+++ b/src/observe/detail/metric_texts.hpp
@@ -6,7 +6,7 @@
 
 namespace gypsumdale::detail {
 
-/// Return the sentence that the exposition's HELP line carries.
+/// Return the text of the metric's HELP line.
 std::string_view latencyHelp(Latency latency);
 std::string_view requestCounterHelp(RequestCounter counter);
 std::string_view counterHelp(Counter counter);
--- a/src/observe/detail/page_bounds.hpp
+++ b/src/observe/detail/page_bounds.hpp
@@ -7,8 +7,9 @@
 
 namespace gypsumdale::detail {
 
-/// Bounds of the buckets that the page shows, in milliseconds and ascending. Of the buckets that
-/// are kept they are few, the promises among them: each is a line for each member or class.
+/// Bounds of the buckets shown on the metrics page, in milliseconds and ascending. They are a small
+/// subset of the recorded buckets that includes the latency targets, because each bound is one line
+/// per member or class.
 struct PageBounds
 {
     std::span<const int> m_ofProfile;
@@ -24,8 +25,8 @@
 inline constexpr std::array profileTotalMillis = {500, 2500, 20000};
 inline constexpr std::array memberTotalMillis = {2500};
 
-/// Returns the bounds that a latency's histograms are shown with. Constant. They are the same in
-/// every process, so that buckets of several VMs can be added up.
+/// Returns the bounds used for the histograms of a latency. They are the same in every process, so
+/// that buckets of several VMs can be added up. Complexity: constant.
 constexpr PageBounds pageBounds(Latency latency)
 {
     switch (latency) {
--- a/src/observe/latency_histogram.cpp
+++ b/src/observe/latency_histogram.cpp
@@ -19,8 +19,8 @@
 
 namespace histogram = boost::histogram;
 
-/// Upper bounds of the buckets in milliseconds; both promises of today's profiles, 51 and 350 ms,
-/// are among them, so that the share within them is exact.
+/// Upper bounds of the buckets in milliseconds. The targets of the standard profiles, 51 and 350
+/// ms, are bounds, so that the share of durations within a target is exact.
 constexpr std::array<int, 26> bucketMillis = {
         1,   2,   5,   10,  15,   20,   30,   40,   51,    75,    100,   150,    200,
         250, 350, 500, 750, 1000, 1500, 2500, 5000, 10000, 20000, 60000, 120000, 300000};
@@ -38,9 +38,9 @@
 using Storage = histogram::dense_storage<histogram::accumulators::count<std::uint64_t, threadSafe>>;
 using Histogram = histogram::histogram<std::tuple<Axis>, Storage>;
 
-/// Returns the axis in nanoseconds. Boost's bins exclude their upper edge while the exposition
-/// format's "le" includes it; durations are whole nanoseconds, so an edge half a nanosecond higher
-/// makes the two agree.
+/// Returns the axis in nanoseconds. Boost's bins exclude their upper edge while "le" in the
+/// exposition format includes it. Durations are whole nanoseconds, so edges that are half a
+/// nanosecond higher reconcile the two.
 Axis makeAxis()
 {
     constexpr double halfNanosecond = 0.5;
@@ -50,7 +50,8 @@
     return Axis(edges);
 }
 
-/// The part of a bucket's width that lies below a share of its count.
+/// Returns the duration within a bucket below which the given share of its count lies, assuming a
+/// uniform distribution.
 Duration interpolate(Duration lower, Duration upper, double share)
 {
     const auto width = static_cast<double>((upper - lower).count());
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -21,7 +21,7 @@
         , m_limiter(rate)
     {}
 
-    /// Begins a line with what all lines of the process share.
+    /// Starts a line with the fields that all lines of the process share.
     detail::LogLine begin(LogLevel level, std::string_view event) const
     {
         detail::LogLine line(m_clock.wallNow(), level, event, m_format);
@@ -31,7 +31,7 @@
 
     void write(LogLevel level, LogEvent event, std::span<const LogItem> fields);
 
-    void hand(detail::LogLine line)
+    void deliver(detail::LogLine line)
     {
         if (!m_sink(line.finish()))
             ++m_lost;
@@ -61,7 +61,7 @@
     const std::uint64_t suppressed = m_limiter.takeSuppressed(event.name());
     if (suppressed > 0)
         line.add({LogField::Suppressed, suppressed});
-    hand(std::move(line));
+    deliver(std::move(line));
 }
 
 Logger::Logger(std::unique_ptr<State> state)
@@ -111,7 +111,7 @@
         detail::LogLine line = m_state->begin(LogLevel::Warning, "log-suppressed");
         line.add({LogField::SuppressedEvent, event});
         line.add({LogField::Suppressed, count});
-        m_state->hand(std::move(line));
+        m_state->deliver(std::move(line));
     }
 }
 
--- a/src/observe/metric_names.cpp
+++ b/src/observe/metric_names.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The name and the HELP text of one metric.
+/// Name and HELP text of one metric.
 template <typename Enum>
 struct MetricText
 {
@@ -26,7 +26,7 @@
     return texts[static_cast<std::size_t>(metric)];
 }
 
-/// Tells whether each text stands at the place of its metric, which textOf() relies on.
+/// Returns whether the index of each text equals the value of its metric, which textOf() relies on.
 template <typename Enum, std::size_t Size>
 constexpr bool isInOrder(const MetricTexts<Enum, Size> &texts)
 {
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::string_view metricPrefix = "gypsumdale_";
 
-/// Returns a metric's name with an infix after the prefix that all have.
+/// Inserts an infix into a metric's name, after the prefix that all names share.
 std::string withInfix(std::string_view name, std::string_view infix)
 {
     return fmt::format("{}{}{}", metricPrefix, infix, name.substr(metricPrefix.size()));
@@ -68,29 +68,29 @@
         std::atomic<std::int64_t> m_value = 0;
         std::atomic<bool> m_isSet = false;
     };
-    /// By their label, escaped. Nodes of a map stay where they are, so that references to what is
-    /// in them stay valid.
+    /// Measures by escaped label. The nodes of a std::map do not move, so that references to the
+    /// values stay valid.
     using MeasuresMap = std::map<std::string, RequestMeasures>;
-    /// The labels of member and profile, escaped.
+    /// Escaped labels of member and profile.
     using SeriesKey = std::pair<std::string, std::string>;
 
-    /// The measures by one of the two labels. What is counted by class has the plain names; by
-    /// member it has names of its own, as a sum over both would count each request twice.
+    /// Measures by one of the two labels. Counts by class use the plain metric names. Counts by
+    /// member use names of their own, because a sum over both would count each request twice.
     struct Dimension
     {
-        /// Returns the name as a label if it is known or there is room for one more, and "other"
+        /// Returns the name as a label if it is known or the limit permits one more, and "other"
         /// otherwise.
         std::string admit(const std::string &text) const;
         std::string labelsOf(const std::string &label) const
         {
             return fmt::format("{}=\"{}\"", m_label, label);
         }
-        /// Those by member need no second sentence.
+        /// Returns the HELP text, or nothing for the metrics by member, which do not repeat it.
         std::string_view helpOf(std::string_view help) const { return m_isOfMembers ? "" : help; }
 
         bool m_isOfMembers;
         std::string_view m_label;
-        /// Put between the common prefix of names and the rest.
+        /// Inserted after the common prefix of the metric names.
         std::string_view m_infix;
         std::size_t m_limit;
         MeasuresMap m_measures;
--- a/src/observe/redact.cpp
+++ b/src/observe/redact.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// What stands in front of a credential, in lower case.
+/// Prefixes of credentials, in lower case.
 constexpr std::array<std::string_view, 3> secretMarkers = {"bearer ", "basic ", secretKeyPrefix};
 
 constexpr std::string_view replacement = "[redacted]";
@@ -23,7 +23,7 @@
                       });
 }
 
-/// Returns the length of the marker that the text begins with, or 0.
+/// Returns the length of the marker at the start of the text, or 0.
 std::size_t markerLength(std::string_view text)
 {
     const auto found =
@@ -37,7 +37,7 @@
     return std::string_view(" \t\r\n\"',;").find(letter) != std::string_view::npos;
 }
 
-/// Returns the text behind a credential that the text begins with.
+/// Returns the text after the credential at its start.
 std::string_view skipCredential(std::string_view text)
 {
     const auto end = std::find_if(text.begin(), text.end(), endsCredential);
--- a/src/observe/standard_sinks.cpp
+++ b/src/observe/standard_sinks.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Tells whether a standard stream takes a line without waiting. While the reader of a pipe has
-/// stopped, a write would hold up the thread that logs, and with it every request of that thread.
-/// A pipe that polls as writable has a free page, and a line is no longer than a page, so that the
-/// write which follows does not wait. A pipe whose reader has gone polls as an error; a write to it
-/// would raise SIGPIPE.
-bool takesLine(int file)
+/// Returns whether a standard stream accepts a line without blocking. If the reader of a pipe does
+/// not read, a write would block the logging thread and every request on that thread. A pipe that
+/// polls as writable has a free page, and a line is no longer than a page, so that the following
+/// write does not block. A pipe without a reader polls as an error; a write to it would raise
+/// SIGPIPE.
+bool isWritable(int file)
 {
     pollfd target{file, POLLOUT, 0};
     constexpr int noWait = 0;
@@ -25,7 +25,7 @@
 
 bool writeLine(int file, std::string_view line)
 {
-    if (!takesLine(file))
+    if (!isWritable(file))
         return false;
     ssize_t written = -1;
     do {
