--- a/include/gypsumdale/settings/account_table.hpp
+++ b/include/gypsumdale/settings/account_table.hpp
@@ -15,28 +15,30 @@
 
 using Sha256 = std::array<std::uint8_t, 32>;
 
-/// Returns the SHA-256 of a text. Linear.
+/// Returns the SHA-256 of a text. Complexity: linear in the length of the text.
 Sha256 sha256(std::string_view text);
 
-/// Returns the SHA-256 of a text in lower-case hexadecimal, as settings carry it. Linear.
+/// Returns the SHA-256 of a text in lower-case hexadecimal, the format used in settings.
+/// Complexity: linear in the length of the text.
 std::string sha256Hex(std::string_view text);
 
-/// Who presented a credential: a member by one of its keys.
+/// Table of the members' key hashes, which identifies the member that presents a key.
 ///
-/// A key is hashed and the hash compared with every stored one in constant time, so that the time
-/// taken tells neither which member nor how much of a hash matched.
+/// A presented key is hashed, and its hash is compared with every stored one in constant time, so
+/// that the duration reveals neither which member nor how much of a hash matched.
 class AccountTable
 {
 public:
-    /// Puts a member's keys in, in place of those it had before. Linear in its keys.
+    /// Sets the keys of a member, replacing its previous ones. Complexity: linear in the number of
+    /// its keys.
     void set(const Member &member);
 
-    /// Forgets a member. Logarithmic in the members.
+    /// Removes a member. Complexity: logarithmic in the number of members.
     void remove(const MemberId &member);
 
-    /// Returns the member that holds the key. Fails with CredentialRefused and one and the same
-    /// text, whether the key is unknown, its member is disabled or two members hold it. Linear in
-    /// all keys.
+    /// Returns the member that holds the key. Fails with CredentialRefused and always the same text
+    /// if the key is unknown, its member is disabled or two members hold it. Complexity: linear in
+    /// the number of all keys.
     Result<MemberId> authenticate(std::string_view key) const;
 
 private:
@@ -49,14 +51,15 @@
     std::map<MemberId, Account> m_accounts;
 };
 
-/// The operators' credentials of one process.
+/// Hashes of the operators' credentials of one process.
 class OperatorTable
 {
 public:
-    /// Takes hashes in hexadecimal, as NodeSettings carries them after its check.
+    /// Constructs the table from validated hashes in hexadecimal, as NodeSettings holds them.
     explicit OperatorTable(const std::vector<std::string> &hashes);
 
-    /// Fails with CredentialRefused unless one of the hashes is the credential's. Linear.
+    /// Fails with CredentialRefused unless one of the hashes belongs to the credential. Complexity:
+    /// linear in the number of hashes.
     Result<Done> authenticate(std::string_view credential) const;
 
 private:
--- a/include/gypsumdale/settings/checker.hpp
+++ b/include/gypsumdale/settings/checker.hpp
@@ -10,18 +10,18 @@
 
 namespace gypsumdale {
 
-/// The value that a document describes, or everything that is wrong with it.
+/// The value that a document describes, or all findings about the document.
 template <typename Value>
 using Checked = std::variant<Value, Findings>;
 
-/// The largest document that is read at all, in bytes.
+/// Maximum size of a document in bytes. Larger documents are not read.
 inline constexpr std::size_t largestDocument = std::size_t{256} * 1024;
 
-/// The deepest nesting of lists and maps in a document.
+/// Maximum nesting depth of lists and maps in a document.
 inline constexpr int deepestNesting = 16;
 
-/// What the reference page says about one key: the full path of the key ("latency.deadline"; "[]"
-/// marks a list's element), what kind of value it takes, its unit, default and range as text.
+/// Entry of the reference page for one key: the full path of the key ("latency.deadline"; "[]"
+/// marks the element of a list), the kind of its value, and its unit, default and range as text.
 struct KeyReference
 {
     std::string m_path;
@@ -33,11 +33,13 @@
 
 using KeyReferences = std::vector<KeyReference>;
 
-/// Writes keys as the table that docs/CONFIGURATION.md carries. Linear.
+/// Formats keys as the Markdown table in docs/CONFIGURATION.md. Complexity: linear in the number of
+/// keys.
 std::string toMarkdown(const KeyReferences &keys);
 
-/// Tells whether a text can name an object or an upstream: 1 to 63 lower-case letters, digits, '-'
-/// and '.', with a letter or digit at both ends. Linear.
+/// Returns whether a text is a valid name of an object or an upstream: 1 to 63 lower-case letters,
+/// digits, '-' and '.', with a letter or digit at both ends. Complexity: linear in the length of
+/// the text.
 bool isValidName(std::string_view text);
 
 } // namespace gypsumdale
--- a/include/gypsumdale/settings/fleet_settings.hpp
+++ b/include/gypsumdale/settings/fleet_settings.hpp
@@ -13,7 +13,7 @@
 
 namespace gypsumdale {
 
-/// What answers a service's requests.
+/// Kind of upstream that answers a service's requests.
 enum class ServiceKind {
     Model,
     Plain,
@@ -28,7 +28,7 @@
 {
     DataCentreId m_id;
     RegionId m_region;
-    /// Multiplies the data centre's prices when places are compared.
+    /// Factor on the data centre's prices when data centres are compared.
     double m_priceWeight = 1.0;
 };
 
@@ -36,13 +36,13 @@
 {
     ServiceId m_id;
     ServiceKind m_kind = ServiceKind::Model;
-    /// The routing policy's name; empty takes the fleet's default.
+    /// Name of the routing policy; empty selects the fleet's default.
     std::string m_routing;
-    /// Requests in flight to one upstream that reports no slots of its own.
+    /// Maximum number of requests in flight to an upstream that does not report its slots.
     int m_concurrency = 8;
 };
 
-/// Bounds on the VMs of one service in one data centre and machine class.
+/// Limits on the number of VMs of one service in one data centre and machine class.
 struct ScalingLimits
 {
     ServiceId m_service;
@@ -55,47 +55,51 @@
 struct ScalingSettings
 {
     std::vector<ScalingLimits> m_limits;
-    /// Whether the rest must carry the load when the largest data centre is lost.
+    /// Whether the remaining data centres must be able to carry the load if the largest one is
+    /// lost.
     bool m_surviveDataCentreLoss = true;
-    /// The share of slots in use that scaling aims at.
+    /// Share of slots in use that scaling aims for.
     double m_targetUse = 0.7;
-    /// The shortest time between two decisions on one service.
+    /// Minimum time between two decisions on one service.
     Duration m_interval = std::chrono::seconds(10);
 };
 
 struct DrainTimes
 {
-    /// From failing readiness until the node refuses new connections, so that balancers notice.
+    /// Time from failing readiness until the node refuses new connections, so that load balancers
+    /// notice first.
     Duration m_readinessLead = std::chrono::seconds(5);
-    /// The longest wait for requests in flight at a planned stop.
+    /// Maximum wait for requests in flight at a planned stop.
     Duration m_node = std::chrono::seconds(120);
-    /// The longest wait for requests in flight on an upstream that leaves.
+    /// Maximum wait for requests in flight on an upstream that leaves.
     Duration m_upstream = std::chrono::seconds(120);
 };
 
-/// What holds for the whole fleet; the platform keeps one such object.
+/// Settings of the whole fleet. The platform stores one such object.
 struct FleetSettings
 {
     std::vector<DataCentreSettings> m_dataCentres;
     std::vector<ServiceSettings> m_services;
     std::string m_routing = "least-outstanding";
-    /// Retries and hedges as a share of first attempts.
+    /// Maximum number of retries and hedges, as a share of first attempts.
     double m_retryRatio = 0.1;
     DrainTimes m_drain;
-    /// How long a finished job's answer is kept.
+    /// Time for which the answer of a finished job is kept.
     Duration m_jobRetention = std::chrono::hours(24);
-    /// How long an idempotency key is remembered where the profile doesn't say.
+    /// Time for which an idempotency key is kept if the profile does not define it.
     Duration m_keyRetention = std::chrono::hours(24);
     ScalingSettings m_scaling;
     double m_memberWeight = 1.0;
 
-    /// Returns the service of that name, or null. Linear in the services.
+    /// Returns the service with the given name, or null. Complexity: linear in the number of
+    /// services.
     const ServiceSettings *service(const ServiceId &id) const;
-    /// Returns the data centre of that name, or null. Linear in the data centres.
+    /// Returns the data centre with the given name, or null. Complexity: linear in the number of
+    /// data centres.
     const DataCentreSettings *dataCentre(const DataCentreId &id) const;
 };
 
-/// Reads the fleet's settings whole; see checkProfile.
+/// Reads and checks the settings of the fleet; see checkProfile.
 Checked<FleetSettings> checkFleetSettings(std::string_view text, const std::string &document);
 
 KeyReferences fleetSettingsReference();
--- a/include/gypsumdale/settings/member.hpp
+++ b/include/gypsumdale/settings/member.hpp
@@ -9,18 +9,18 @@
 
 namespace gypsumdale {
 
-/// A member of the consortium: its share, its limits and who may speak for it.
+/// Member of the consortium: its share, its limits and its keys.
 struct Member
 {
     MemberId m_id;
-    /// The share relative to other members'; zero takes the fleet's default.
+    /// Share relative to other members' shares; zero selects the fleet's default.
     double m_weight = 0;
-    /// Requests in flight over the whole fleet; 0 means no limit of its own.
+    /// Maximum number of requests in flight over the whole fleet; 0 means no limit for this member.
     int m_concurrency = 0;
-    /// SHA-256 of each key in lower-case hexadecimal. Keys are random and long, so that a plain
-    /// hash can't be searched.
+    /// SHA-256 of each key in lower-case hexadecimal. Keys are long and random, so that the
+    /// preimage of an unsalted hash can't be found by search.
     std::vector<std::string> m_keyHashes;
-    /// What it may use; empty means all.
+    /// Profiles that the member may use; empty means all.
     std::vector<ProfileId> m_profiles;
     std::vector<ServiceId> m_services;
     bool m_disabled = false;
@@ -29,7 +29,7 @@
     bool allowsService(const ServiceId &service) const;
 };
 
-/// Reads a member's settings whole; see checkProfile.
+/// Reads and checks the settings of a member; see checkProfile.
 Checked<Member> checkMember(const MemberId &id, std::string_view text, const std::string &document);
 
 KeyReferences memberReference();
--- a/include/gypsumdale/settings/node_settings.hpp
+++ b/include/gypsumdale/settings/node_settings.hpp
@@ -14,7 +14,7 @@
 
 namespace gypsumdale {
 
-/// An IP number and a port, written "127.0.0.1:8080" or "[::1]:8080".
+/// IP address and port, written "127.0.0.1:8080" or "[::1]:8080".
 struct Address
 {
     std::string m_ip;
@@ -24,7 +24,7 @@
     friend bool operator==(const Address &, const Address &) = default;
 };
 
-/// Another entry VM of the fleet, as the settings know it.
+/// Another entry VM of the fleet, as named in the settings.
 struct SeedPeer
 {
     NodeId m_node;
@@ -32,7 +32,7 @@
     Address m_address;
 };
 
-/// An upstream that the settings name, for a fleet without a cloud list.
+/// Upstream named in the settings, for a fleet without a cloud list.
 struct StaticUpstream
 {
     UpstreamId m_id;
@@ -44,24 +44,24 @@
     int m_slots = 8;
     double m_pricePerHour = 0;
     bool m_reclaimable = true;
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the upstream refuses an order with a superseded fencing number.
     bool m_checksFence = false;
 };
 
-/// How often a node does what it does by the clock.
+/// Intervals and timeouts of a node's periodic work.
 struct ControlIntervals
 {
     Duration m_heartbeat = std::chrono::milliseconds(200);
-    /// A peer that has been silent for this long is suspected.
+    /// Time without a message after which a peer is suspected.
     Duration m_suspectAfter = std::chrono::milliseconds(1000);
     Duration m_probe = std::chrono::milliseconds(500);
-    /// How long one watch of the platform waits.
+    /// Maximum duration of one watch of the platform.
     Duration m_watch = std::chrono::seconds(3);
-    /// The longest wait for an answer of the platform.
+    /// Maximum wait for an answer of the platform.
     Duration m_platformTimeout = std::chrono::seconds(2);
 };
 
-/// A secret, written down or in a file. Exactly one of the two is set.
+/// Secret given as text or as the path of a file. Exactly one of the two is set.
 struct SecretSource
 {
     std::string m_inline;
@@ -70,7 +70,7 @@
     bool isEmpty() const { return m_inline.empty() && m_file.empty(); }
 };
 
-/// The settings of one process, read from its file at start.
+/// Settings of one process, read from its file at startup.
 struct NodeSettings
 {
     NodeId m_node;
@@ -81,22 +81,24 @@
     Address m_peerListen;
     int m_trafficThreads = 2;
     Address m_platform;
-    /// Unset where no cloud serves the fleet.
+    /// Unset if the fleet uses no cloud.
     std::optional<Address> m_cloud;
-    /// Every other entry VM; the same list, less the node itself, on all of them.
+    /// All other entry VMs. The list is the same on all nodes, except for the node itself.
     std::vector<SeedPeer> m_peers;
     /// SHA-256 of the operators' credentials in lower-case hexadecimal.
     std::vector<std::string> m_operatorHashes;
-    /// The secret by which nodes know each other.
+    /// Shared secret by which nodes authenticate each other.
     SecretSource m_peerSecret;
     LogLevel m_logLevel = LogLevel::Info;
     ControlIntervals m_intervals;
-    /// Logs of claims that the keys of once requests are split into; the same on all nodes.
+    /// Number of claim logs over which the keys of once requests are distributed; the same on all
+    /// nodes.
     int m_onceShards = 16;
     std::vector<StaticUpstream> m_upstreams;
 };
 
-/// Reads one process's settings whole; see checkProfile. Files that it names are not opened.
+/// Reads and checks the settings of one process; see checkProfile. Does not open the files named in
+/// them.
 Checked<NodeSettings> checkNodeSettings(std::string_view text, const std::string &document);
 
 KeyReferences nodeSettingsReference();
--- a/include/gypsumdale/settings/profile.hpp
+++ b/include/gypsumdale/settings/profile.hpp
@@ -12,8 +12,8 @@
 
 namespace gypsumdale {
 
-/// What becomes of an accepted request when its VM goes: with None the caller is told and asks
-/// again, a Job is held outside its data centre and resumed.
+/// What happens to an accepted request when its VM is lost: with None, the caller receives an error
+/// and must send the request again; a Job is also stored outside its data centre and resumed.
 enum class Durability {
     None,
     Job,
@@ -35,8 +35,8 @@
         {RepeatSafety::Once, "once"},
 }};
 
-/// The latency that a profile promises. The targets steer and are measured against; the deadline
-/// ends the request.
+/// Latency targets and deadline of a profile. Targets control decisions and are measured against;
+/// the deadline ends the request.
 struct LatencyPromise
 {
     Duration m_firstToken = std::chrono::milliseconds(1000);
@@ -44,44 +44,45 @@
     Duration m_deadline = std::chrono::seconds(60);
 };
 
-/// How many requests of the profile may wait on one node, and for how long.
+/// Limits on the number of requests of the profile that wait on one node, and on their wait.
 struct QueueLimits
 {
     int m_requests = 256;
     Duration m_wait = std::chrono::seconds(10);
 };
 
-/// A named set of promises; services pick one for each request.
+/// Named set of service guarantees. Each request uses one profile.
 struct Profile
 {
     ProfileId m_id;
     LatencyPromise m_latency;
     Durability m_durability = Durability::None;
     RepeatSafety m_repeatSafety = RepeatSafety::Repeatable;
-    /// 0 is served first; phone 0-2, interactive 3-5 and batch 6-9 by custom.
+    /// 0 is served first. By convention, phone uses 0-2, interactive 3-5 and batch 6-9.
     int m_priority = 5;
-    /// The routing policy's name; empty takes the fleet's default.
+    /// Name of the routing policy; empty selects the fleet's default.
     std::string m_routing;
-    /// Attempts after the first one.
+    /// Number of attempts after the first one.
     int m_retries = 2;
     bool m_hedging = false;
-    /// Tokens between two checkpoints of a job.
+    /// Number of tokens between two checkpoints of a job.
     int m_checkpointTokens = 64;
-    /// How long an idempotency key is remembered; zero takes the fleet's default.
+    /// Time for which an idempotency key is kept; zero selects the fleet's default.
     Duration m_keyRetention = Duration::zero();
     QueueLimits m_queue;
-    /// The services it may be used with; empty means all.
+    /// Services that the profile may be used with; empty means all.
     std::vector<ServiceId> m_services;
 
     bool allowsService(const ServiceId &service) const;
 };
 
-/// Reads a profile whole. `id` is the object's name and `document` what findings call the text.
-/// Returns every finding, in the order of lines. Linear in the text.
+/// Reads and checks a profile. `id` is the object's name; `document` is the name of the text in
+/// findings. Returns all findings, ordered by line, if there are any. Complexity: linear in the
+/// length of the text.
 Checked<Profile> checkProfile(const ProfileId &id, std::string_view text,
                               const std::string &document);
 
-/// Lists the keys of a profile, from the tables that the check itself uses.
+/// Returns the keys of a profile, from the schema that the check itself uses.
 KeyReferences profileReference();
 
 } // namespace gypsumdale
--- a/include/gypsumdale/settings/settings_kind.hpp
+++ b/include/gypsumdale/settings/settings_kind.hpp
@@ -4,21 +4,21 @@
 
 namespace gypsumdale {
 
-/// The kinds of object that operators edit and that are in force in the whole fleet.
+/// Kinds of objects that operators edit and that apply to the whole fleet.
 enum class SettingsKind {
     Profile,
     Fleet,
     Member,
 };
 
-/// The names as they stand in the admin interface and in the platform's object names.
+/// Names of the kinds in the admin interface and in the platform's object names.
 inline constexpr NameTable<SettingsKind, 3> settingsKindNames = {{
         {SettingsKind::Profile, "profile"},
         {SettingsKind::Fleet, "fleet"},
         {SettingsKind::Member, "member"},
 }};
 
-/// The name of the one object of kind fleet.
+/// Name of the only object of kind fleet.
 inline constexpr std::string_view fleetSettingsName = "settings";
 
 } // namespace gypsumdale
--- a/src/settings/account_table.cpp
+++ b/src/settings/account_table.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// One text for all refusals: it must not tell whether a member or a part of a key exists.
+/// All refusals have the same text, which must not reveal whether a member or a part of a key
+/// exists.
 Error refused()
 {
     return {ErrorId::CredentialRefused, "the credential was refused"};
@@ -18,7 +19,8 @@
     return digit <= '9' ? digit - '0' : digit - 'a' + 10;
 }
 
-/// Reads 64 hexadecimal digits, which the settings' check has seen; nothing for another length.
+/// Parses 64 hexadecimal digits, already validated by the settings check. Returns false for another
+/// length.
 bool parseHash(const std::string &text, Sha256 &hash)
 {
     if (text.size() != 2 * hash.size())
@@ -40,8 +42,8 @@
     return hashes;
 }
 
-/// Compares with every hash, also after a match, each in constant time: an early end would tell
-/// where in the table a match stands.
+/// Compares the presented hash with every stored one, also after a match, each in constant time:
+/// returning early would reveal the position of the match in the table.
 bool matchesAny(const std::vector<Sha256> &hashes, const Sha256 &presented)
 {
     unsigned matches = 0;
@@ -90,7 +92,7 @@
         if (matches && !account.m_disabled)
             holders.push_back(&member);
     }
-    // A key in two members' settings would charge one of them for the other's requests.
+    // A key in two members' settings would charge one member for the other's requests.
     if (holders.size() != 1)
         return refused();
     return *holders.front();
--- a/src/settings/detail/kinds.cpp
+++ b/src/settings/detail/kinds.cpp
@@ -37,7 +37,8 @@
     Duration m_length;
 };
 
-/// From the longest down, so that a duration is shown in the longest unit that divides it.
+/// Ordered from the longest to the shortest, so that a duration is formatted in the longest unit
+/// that divides it.
 constexpr std::array<DurationUnit, 4> durationUnits = {{
         {"h", std::chrono::hours(1)},
         {"m", std::chrono::minutes(1)},
@@ -45,7 +46,7 @@
         {"ms", std::chrono::milliseconds(1)},
 }};
 
-/// Reads a number that takes up the whole text.
+/// Parses a text that consists entirely of a number.
 template <typename Number>
 std::optional<Number> parseNumber(std::string_view text)
 {
@@ -57,7 +58,7 @@
     return number;
 }
 
-/// Nothing for a text that isn't a whole number with a unit, or doesn't fit.
+/// Returns nothing if the text isn't a whole number with a unit, or is out of range.
 std::optional<Duration> parseDuration(std::string_view text)
 {
     const auto unitStart = text.find_first_not_of("0123456789");
@@ -104,7 +105,7 @@
 void takeInRange(const Kind &kind, const YAML::Node &node, Number number, Number &value,
                  Reader &reader)
 {
-    // Written so that "not a number" fails as well.
+    // The condition is written so that NaN fails as well.
     if (number >= kind.m_least && number <= kind.m_most) {
         value = number;
         return;
@@ -217,7 +218,7 @@
 void HashKind::read(const YAML::Node &node, std::string &value, Reader &reader) const
 {
     constexpr std::size_t digits = 64;
-    // The text isn't repeated in the finding: it may be a key that was pasted here by mistake.
+    // The finding does not repeat the text: it may be a key that was pasted here by mistake.
     constexpr std::string_view expected = "a SHA-256 as 64 digits 0-9 a-f";
     if (!isScalar(node, expected, reader))
         return;
--- a/src/settings/detail/kinds.hpp
+++ b/src/settings/detail/kinds.hpp
@@ -19,17 +19,17 @@
 
 namespace gypsumdale::detail {
 
-// A kind says how one sort of value is read, shown and described. Each has:
-//   Value                     the C++ type it fills
-//   read(node, value, reader) fills the value or notes findings
-//   type(), range()           what the reference says
-//   show(value)               a default as text
-//   describe(path, keys)      the keys below a map or a list of maps
-
-/// Notes a wrong type unless the node is a scalar that isn't empty.
+// A kind defines how one type of setting is read, formatted and documented. Each kind has:
+//   Value                     the C++ type of the value
+//   read(node, value, reader) reads the value or adds findings
+//   type(), range()           type and range in the reference
+//   show(value)               formats a default
+//   describe(path, keys)      adds the keys nested in a map or a list of maps
+
+/// Returns whether the node is a non-empty scalar; reports a wrong type otherwise.
 bool isScalar(const YAML::Node &node, std::string_view expected, Reader &reader);
 
-/// What the kinds without keys below them have in common.
+/// Common base of the kinds without nested keys.
 struct PlainKind
 {
     void describe(const std::string &, KeyReferences &) const {}
@@ -68,7 +68,7 @@
     std::string show(double value) const { return fmt::format("{}", value); }
 };
 
-/// A whole number with its unit: 350ms, 12s, 5m, 24h.
+/// A whole number with a unit: 350ms, 12s, 5m, 24h.
 struct DurationKind : PlainKind
 {
     using Value = Duration;
@@ -93,7 +93,7 @@
     std::string show(bool value) const { return value ? "true" : "false"; }
 };
 
-/// Any text up to a length.
+/// A text up to a maximum length.
 struct TextKind : PlainKind
 {
     using Value = std::string;
@@ -105,7 +105,7 @@
     std::string show(const std::string &value) const { return value; }
 };
 
-/// The name of a plug-in, which the process that links it looks up.
+/// The name of a plug-in, which is resolved by the process that links it.
 struct NameKind : PlainKind
 {
     using Value = std::string;
@@ -114,7 +114,7 @@
     std::string show(const std::string &value) const { return value; }
 };
 
-/// A name that becomes an Id.
+/// A name that is stored as an Id.
 template <typename IdType>
 struct IdKind : PlainKind
 {
@@ -148,7 +148,7 @@
     std::string show(const Address &) const { return {}; }
 };
 
-/// One of the names of an enumeration.
+/// The name of a value of an enumeration.
 template <typename Enum, std::size_t Size>
 struct EnumKind : PlainKind
 {
@@ -185,7 +185,7 @@
     std::string show(Enum value) const { return std::string(nameIn(m_table, value)); }
 };
 
-/// A value that may be left out for good.
+/// An optional value without a default.
 template <typename Kind>
 struct OptionalKind
 {
@@ -208,7 +208,8 @@
     }
 };
 
-/// A list. No two elements may have the same identity, a text that a function makes of each.
+/// A list whose elements must be unique by an identity, which a function returns as text for each
+/// element.
 template <typename Kind>
 struct ListKind
 {
@@ -233,7 +234,7 @@
         }
         if (node.size() > m_longest) {
             reader.add(ErrorId::SettingsOutOfRange, node,
-                       fmt::format("{} entries are more than {}", node.size(), m_longest));
+                       fmt::format("{} entries exceed the maximum of {}", node.size(), m_longest));
             return;
         }
         value.clear();
@@ -244,7 +245,7 @@
             const auto identity = m_identity(element);
             if (!identity.empty() && !seen.insert(identity).second)
                 reader.add(ErrorId::SettingsDuplicate, child,
-                           fmt::format("{} stands here twice", identity));
+                           fmt::format("{} occurs twice", identity));
             value.push_back(std::move(element));
         }
     }
@@ -257,7 +258,7 @@
     }
 };
 
-/// A list of names without repetitions.
+/// A list of unique names.
 template <typename IdType>
 ListKind<IdKind<IdType>> idList(std::size_t longest)
 {
--- a/src/settings/detail/reader.cpp
+++ b/src/settings/detail/reader.cpp
@@ -14,10 +14,11 @@
 
 namespace {
 
-/// The most findings reported for one document; more say nothing new.
-constexpr std::size_t mostFindings = 100;
+/// Maximum number of findings reported for one document; further ones add no information.
+constexpr std::size_t maxFindings = 100;
 
-/// Walks a document's events without building its nodes and notes what breaks the bounds.
+/// Processes a document's parser events without building its nodes, and reports violations of the
+/// size limits.
 class BoundsCheck : public YAML::EventHandler
 {
 public:
@@ -82,7 +83,7 @@
     return row.back();
 }
 
-/// Checks the bounds and the number of documents in the text.
+/// Checks the limits and the number of documents in the text.
 void checkBounds(const std::string &text, Reader &reader)
 {
     std::istringstream stream(text);
@@ -91,7 +92,7 @@
     parser.HandleNextDocument(check);
     if (reader.isClean() && parser.HandleNextDocument(check))
         reader.addAt(ErrorId::SettingsSyntax, YAML::Mark::null_mark(),
-                     "the text holds more than one document");
+                     "the text contains more than one document");
 }
 
 } // namespace
@@ -104,7 +105,7 @@
 
 void Reader::addAt(ErrorId id, const YAML::Mark &mark, std::string text, std::string hint)
 {
-    if (m_findings.size() >= mostFindings)
+    if (m_findings.size() >= maxFindings)
         return;
     Place place{m_document, mark.line + 1, mark.column + 1};
     m_findings.push_back({id, std::move(place), std::move(text), std::move(hint)});
@@ -123,9 +124,9 @@
 std::optional<YAML::Node> parseDocument(std::string_view text, Reader &reader)
 {
     if (text.size() > largestDocument) {
-        reader.addAt(ErrorId::SettingsUnreadable, YAML::Mark::null_mark(),
-                     fmt::format("{} bytes are more than the {} that are read", text.size(),
-                                 largestDocument));
+        reader.addAt(
+                ErrorId::SettingsUnreadable, YAML::Mark::null_mark(),
+                fmt::format("{} bytes exceed the maximum of {}", text.size(), largestDocument));
         return std::nullopt;
     }
     const std::string copy(text);
--- a/src/settings/detail/reader.hpp
+++ b/src/settings/detail/reader.hpp
@@ -13,7 +13,7 @@
 
 namespace gypsumdale::detail {
 
-/// Collects what is wrong with one document while it is read.
+/// Collects the findings of one document while it is read.
 class Reader
 {
 public:
@@ -21,14 +21,15 @@
         : m_document(std::move(document))
     {}
 
-    /// Notes a finding at the node's place. A node that the document doesn't have gives no place.
+    /// Adds a finding at the node's position. A node that does not exist in the document gives no
+    /// position.
     void add(ErrorId id, const YAML::Node &node, std::string text, std::string hint = {});
 
     void addAt(ErrorId id, const YAML::Mark &mark, std::string text, std::string hint = {});
 
     bool isClean() const { return m_findings.empty(); }
 
-    /// Hands the findings over, in the order of lines.
+    /// Returns the findings ordered by line and removes them from the reader.
     Findings take();
 
 private:
@@ -36,15 +37,15 @@
     Findings m_findings;
 };
 
-/// Parses a document within the bounds of size and depth; nothing if that left findings. Aliases
-/// are refused: a few lines of them can expand to more nodes than memory holds, and settings have
-/// no use for them.
+/// Parses a document within the limits on size and depth. Returns nothing if there were findings.
+/// Aliases are refused: a few lines of them can expand to more nodes than fit into memory, and
+/// settings have no use for them.
 std::optional<YAML::Node> parseDocument(std::string_view text, Reader &reader);
 
-/// Follows keys down from a node as far as they go, for the place of a finding.
+/// Follows a path of keys from a node as far as it exists, for the position of a finding.
 YAML::Node nodeAt(const YAML::Node &root, std::initializer_list<const char *> path);
 
-/// Returns "did you mean NAME?" for the name nearest to a misspelt one; empty if none is near.
+/// Returns "did you mean NAME?" for the name closest to a misspelt one; empty if none is close.
 std::string nearestHint(std::string_view wrong, const std::vector<std::string> &names);
 
 } // namespace gypsumdale::detail
--- a/src/settings/detail/schema.hpp
+++ b/src/settings/detail/schema.hpp
@@ -13,13 +13,13 @@
 
 namespace gypsumdale::detail {
 
-/// The table of a map's keys. Each key is declared once, with its kind and the member it fills;
-/// reading, hints and the reference page all come from the declaration.
+/// Schema of a map. Each key is declared once, with its kind and the member it fills; reading,
+/// hints and the reference page are all derived from the declaration.
 template <typename Structure>
 class Schema
 {
 public:
-    /// Declares a key that may be left out; the member's initial value is the default.
+    /// Declares an optional key. The member's initial value is the default.
     template <typename Kind>
     Schema &key(std::string name, typename Kind::Value Structure::*member, Kind kind,
                 std::string text)
@@ -27,7 +27,7 @@
         return declare(std::move(name), member, std::move(kind), std::move(text), false);
     }
 
-    /// Declares a key that must be there.
+    /// Declares a required key.
     template <typename Kind>
     Schema &required(std::string name, typename Kind::Value Structure::*member, Kind kind,
                      std::string text)
@@ -35,8 +35,8 @@
         return declare(std::move(name), member, std::move(kind), std::move(text), true);
     }
 
-    /// Fills the structure from a map; notes findings for what is unknown, missing, doubled or
-    /// wrong.
+    /// Fills the structure from a map. Reports findings for unknown, missing, duplicate and invalid
+    /// keys.
     void read(const YAML::Node &node, Structure &structure, Reader &reader) const
     {
         if (!node.IsMap()) {
@@ -94,13 +94,13 @@
         const auto &name = key.Scalar();
         if (!seen.insert(name).second) {
             reader.add(ErrorId::SettingsDuplicate, key,
-                       fmt::format("the key {} stands here twice", name));
+                       fmt::format("the key {} occurs twice", name));
             return;
         }
         for (const auto &rule : m_rules) {
             if (rule.m_name != name)
                 continue;
-            // The parser places a value that isn't there on a later line.
+            // The parser reports the position of a missing value on a later line.
             if (value.IsNull())
                 reader.add(ErrorId::SettingsWrongType, key,
                            fmt::format("the key {} has no value", name));
@@ -123,7 +123,7 @@
     std::vector<Rule> m_rules;
 };
 
-/// A map with a table of its own, as a value.
+/// A nested map with its own schema.
 template <typename Structure>
 struct MapKind
 {
@@ -146,9 +146,9 @@
     }
 };
 
-/// Reads a whole document with a table, and then looks for contradictions between its values, which
-/// a function (value, root, reader) notes. Contradictions of a document that is wrong already are
-/// looked for as well; they are judged on what could be read.
+/// Reads a document with a schema, and then checks for contradictions between its values with a
+/// function (value, root, reader), which reports them. Contradictions are checked even if the
+/// document already has findings, based on the values that could be read.
 template <typename Structure, typename Contradictions>
 Checked<Structure> checkDocument(const Schema<Structure> &schema, Structure structure,
                                  std::string_view text, const std::string &document,
--- a/src/settings/entry_settings.cpp
+++ b/src/settings/entry_settings.cpp
@@ -13,9 +13,9 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr std::size_t mostSeeds = 64;
-constexpr std::size_t mostDataCentres = 64;
-constexpr double mostSlack = 1e6;
+constexpr std::size_t maxSeeds = 64;
+constexpr std::size_t maxDataCentres = 64;
+constexpr double maxSlack = 1e6;
 
 std::string addressText(const Address &address)
 {
@@ -33,7 +33,7 @@
                  "what may be used beyond that in a window, in the quota's unit")
             .key("retry-ratio", &EntryBounds::m_retryRatio, NumberKind(0, 10),
                  "repeats that the fleet may add for each request")
-            .key("retry-slack", &EntryBounds::m_retrySlack, NumberKind(0, mostSlack),
+            .key("retry-slack", &EntryBounds::m_retrySlack, NumberKind(0, maxSlack),
                  "repeats that the fleet may add beyond the ratio")
             .key("retry-window", &EntryBounds::m_retryWindow, DurationKind(seconds(1), minutes(5)),
                  "span over which repeats are counted")
@@ -109,10 +109,10 @@
                 .key("cloud", &EntrySettings::m_cloud, OptionalKind(AddressKind()),
                      "the cloud interface; left out where there are no duties")
                 .key("seeds", &EntrySettings::m_seeds,
-                     ListKind(AddressKind(), mostSeeds, addressText),
+                     ListKind(AddressKind(), maxSeeds, addressText),
                      "where some of the other nodes may be reached")
                 .required("data-centres", &EntrySettings::m_dataCentres,
-                          ListKind(IdKind<DataCentreId>(), mostDataCentres, dataCentreName),
+                          ListKind(IdKind<DataCentreId>(), maxDataCentres, dataCentreName),
                           "all data centres of the fleet")
                 .key("first-start", &EntrySettings::m_isFirstStart, FlagKind(),
                      "the whole system starts for the first time")
--- a/src/settings/fleet_settings.cpp
+++ b/src/settings/fleet_settings.cpp
@@ -14,10 +14,10 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr std::size_t mostDataCentres = 64;
-constexpr std::size_t mostServices = 64;
-constexpr std::size_t mostLimits = 1024;
-constexpr int mostVms = 100000;
+constexpr std::size_t maxDataCentres = 64;
+constexpr std::size_t maxServices = 64;
+constexpr std::size_t maxLimits = 1024;
+constexpr int maxVms = 100000;
 
 Schema<DataCentreSettings> dataCentreSchema()
 {
@@ -52,8 +52,8 @@
             .required("data-centre", &ScalingLimits::m_dataCentre, IdKind<DataCentreId>(),
                       "the data centre")
             .required("class", &ScalingLimits::m_vmClass, NameKind(), "the machine class")
-            .key("min", &ScalingLimits::m_minimum, IntegerKind(0, mostVms), "the fewest VMs")
-            .required("max", &ScalingLimits::m_maximum, IntegerKind(0, mostVms), "the most VMs");
+            .key("min", &ScalingLimits::m_minimum, IntegerKind(0, maxVms), "the fewest VMs")
+            .required("max", &ScalingLimits::m_maximum, IntegerKind(0, maxVms), "the most VMs");
     return schema;
 }
 
@@ -64,7 +64,7 @@
     };
     Schema<ScalingSettings> schema;
     schema.key("limits", &ScalingSettings::m_limits,
-               ListKind(MapKind(limitsSchema()), mostLimits, identity),
+               ListKind(MapKind(limitsSchema()), maxLimits, identity),
                "bounds per service, data centre and machine class")
             .key("survive-data-centre-loss", &ScalingSettings::m_surviveDataCentreLoss, FlagKind(),
                  "whether the rest must carry the load when the largest data centre is lost")
@@ -99,10 +99,10 @@
         };
         Schema<FleetSettings> table;
         table.required("data-centres", &FleetSettings::m_dataCentres,
-                       ListKind(MapKind(dataCentreSchema()), mostDataCentres, dataCentreName),
+                       ListKind(MapKind(dataCentreSchema()), maxDataCentres, dataCentreName),
                        "the data centres of the fleet")
                 .required("services", &FleetSettings::m_services,
-                          ListKind(MapKind(serviceSchema()), mostServices, serviceName),
+                          ListKind(MapKind(serviceSchema()), maxServices, serviceName),
                           "the services that requests may name")
                 .key("routing", &FleetSettings::m_routing, NameKind(),
                      "the routing policy where neither profile nor service names one")
@@ -152,7 +152,7 @@
         const auto list = nodeAt(root, {key});
         if (list.IsSequence() && list.size() == 0)
             reader.add(ErrorId::SettingsOutOfRange, list,
-                       fmt::format("{} needs one entry at least", key));
+                       fmt::format("{} needs at least one entry", key));
     }
     checkLimits(settings, root, reader);
 }
--- a/src/settings/member.cpp
+++ b/src/settings/member.cpp
@@ -10,8 +10,8 @@
 
 using namespace detail;
 
-constexpr std::size_t mostKeys = 32;
-constexpr std::size_t mostNames = 256;
+constexpr std::size_t maxKeys = 32;
+constexpr std::size_t maxNames = 256;
 
 const Schema<Member> &memberSchema()
 {
@@ -24,11 +24,11 @@
                   "share relative to other members'; 0 takes the fleet's default")
                 .key("concurrency", &Member::m_concurrency, IntegerKind(0, 1000000),
                      "requests in flight over the fleet; 0 means no limit of its own")
-                .required("key-hashes", &Member::m_keyHashes,
-                          ListKind(HashKind(), mostKeys, asText), "SHA-256 of each of its keys")
-                .key("profiles", &Member::m_profiles, idList<ProfileId>(mostNames),
+                .required("key-hashes", &Member::m_keyHashes, ListKind(HashKind(), maxKeys, asText),
+                          "SHA-256 of each of its keys")
+                .key("profiles", &Member::m_profiles, idList<ProfileId>(maxNames),
                      "the profiles it may use; empty means all")
-                .key("services", &Member::m_services, idList<ServiceId>(mostNames),
+                .key("services", &Member::m_services, idList<ServiceId>(maxNames),
                      "the services it may use; empty means all")
                 .key("disabled", &Member::m_disabled, FlagKind(),
                      "refuses all its requests when true");
@@ -43,7 +43,7 @@
     if (member.m_keyHashes.empty() && !member.m_disabled && hashes.IsSequence()
         && hashes.size() == 0)
         reader.add(ErrorId::SettingsContradiction, hashes,
-                   "a member without keys can't send anything", "set disabled: true instead");
+                   "a member without keys can't send requests", "set disabled: true instead");
 }
 
 template <typename IdType>
--- a/src/settings/node_settings.cpp
+++ b/src/settings/node_settings.cpp
@@ -13,9 +13,9 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr std::size_t mostPeers = 2048;
-constexpr std::size_t mostUpstreams = 20000;
-constexpr std::size_t mostOperators = 64;
+constexpr std::size_t maxPeers = 2048;
+constexpr std::size_t maxUpstreams = 20000;
+constexpr std::size_t maxOperators = 64;
 
 Schema<SeedPeer> peerSchema()
 {
@@ -107,10 +107,10 @@
     const auto upstreamName = [](const StaticUpstream &upstream) {
         return upstream.m_id.text();
     };
-    table.key("peers", &NodeSettings::m_peers, ListKind(MapKind(peerSchema()), mostPeers, peerName),
+    table.key("peers", &NodeSettings::m_peers, ListKind(MapKind(peerSchema()), maxPeers, peerName),
               "every other node; the lists of all nodes must name each other")
             .required("operator-hashes", &NodeSettings::m_operatorHashes,
-                      ListKind(HashKind(), mostOperators, asText),
+                      ListKind(HashKind(), maxOperators, asText),
                       "SHA-256 of each operator's credential")
             .required("peer-secret", &NodeSettings::m_peerSecret, MapKind(secretSchema()),
                       "the secret by which nodes know each other")
@@ -123,7 +123,7 @@
             .key("once-shards", &NodeSettings::m_onceShards, IntegerKind(1, 1024),
                  "logs of claims that idempotency keys are split into; the same on all nodes")
             .key("upstreams", &NodeSettings::m_upstreams,
-                 ListKind(MapKind(upstreamSchema()), mostUpstreams, upstreamName),
+                 ListKind(MapKind(upstreamSchema()), maxUpstreams, upstreamName),
                  "upstreams of a fleet without a cloud list");
 }
 
@@ -138,7 +138,7 @@
     return schema;
 }
 
-/// Notes addresses that two listeners or two upstreams share, at the later one.
+/// Reports addresses that are used by two listeners or two upstreams, at the later use.
 class AddressUse
 {
 public:
@@ -193,12 +193,12 @@
     const bool hasBoth =
             !settings.m_peerSecret.m_file.empty() && !settings.m_peerSecret.m_inline.empty();
     if (isGiven && hasBoth)
-        reader.add(ErrorId::SettingsContradiction, secret, "give either file or text");
+        reader.add(ErrorId::SettingsContradiction, secret, "file and text are mutually exclusive");
     if (isGiven && settings.m_peerSecret.isEmpty())
-        reader.add(ErrorId::SettingsMissingKey, secret, "give file or text");
+        reader.add(ErrorId::SettingsMissingKey, secret, "file or text is required");
     if (settings.m_intervals.m_suspectAfter <= settings.m_intervals.m_heartbeat)
         reader.add(ErrorId::SettingsContradiction, nodeAt(root, {"intervals", "suspect-after"}),
-                   "suspect-after isn't longer than heartbeat: every peer would be suspected");
+                   "suspect-after must exceed heartbeat: every peer would be suspected");
 }
 
 } // namespace
--- a/src/settings/profile.cpp
+++ b/src/settings/profile.cpp
@@ -14,7 +14,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr std::size_t mostServices = 64;
+constexpr std::size_t maxServices = 64;
 
 Schema<LatencyPromise> latencySchema()
 {
@@ -66,7 +66,7 @@
                      DurationKind(seconds(0), hours(24 * 30)),
                      "how long an idempotency key is remembered; 0s takes the fleet's")
                 .key("queue", &Profile::m_queue, MapKind(queueSchema()), "limits of its queue")
-                .key("services", &Profile::m_services, idList<ServiceId>(mostServices),
+                .key("services", &Profile::m_services, idList<ServiceId>(maxServices),
                      "the services it may be used with; empty means all");
         return table;
     }();
@@ -95,15 +95,15 @@
     const auto &latency = profile.m_latency;
     if (latency.m_firstToken > latency.m_deadline)
         reader.add(ErrorId::SettingsContradiction, nodeAt(root, {"latency", "first-token"}),
-                   "the first token's target lies behind the deadline");
+                   "the first token's target exceeds the deadline");
     const auto wait = nodeAt(root, {"queue", "wait"});
     if (wait.IsScalar() && profile.m_queue.m_wait > latency.m_deadline)
         reader.add(ErrorId::SettingsContradiction, wait,
-                   "the longest wait in the queue lies behind the deadline");
+                   "the longest wait in the queue exceeds the deadline");
 }
 
-/// Bends defaults that the document's own values rule out.
-void fitDefaults(Profile &profile)
+/// Adjusts defaults that contradict values given in the document.
+void adjustDefaults(Profile &profile)
 {
     if (profile.m_repeatSafety == RepeatSafety::Once)
         profile.m_retries = 0;
@@ -126,7 +126,7 @@
     profile.m_id = id;
     auto checked = checkDocument(profileSchema(), profile, text, document, checkContradictions);
     if (auto *read = std::get_if<Profile>(&checked))
-        fitDefaults(*read);
+        adjustDefaults(*read);
     return checked;
 }
 
