--- a/tests/src/fuzz-platform-entries.cpp
+++ b/tests/src/fuzz-platform-entries.cpp
@@ -18,7 +18,8 @@
         R"({"service":"s","address":"10.0.0.9:8080","zone":"a","slots":8,)"
         R"("state":"ready","spot":true,"leaves_ms":2500,"born":1790000000000})";
 
-/// Puts an entry, changed at some places, within a string or as it is where that stays JSON.
+/// Returns a text with some bytes replaced, removed, repeated or inserted. Each change encodes its
+/// kind, position and value.
 std::string changed(std::string text, const std::vector<std::uint32_t> &changes)
 {
     for (const std::uint32_t change : changes) {
@@ -44,8 +45,8 @@
 
 } // namespace
 
-// Whatever one writer puts into its entry: what is read of it can be connected to and passed on,
-// and the entries beside it are read.
+// Whatever one writer puts into its entry, the decoded fields must be safe to connect to and to
+// forward, and the other entries must still be decoded.
 TEST_CASE("entries that are nearly right")
 {
     const bool holds = rc::check([](const std::vector<std::uint32_t> &changes) {
@@ -65,7 +66,7 @@
     CHECK(holds);
 }
 
-// The same within the store's answer, where the bytes stand in a string of it.
+// The same within the store's answer, where the bytes are part of a string.
 TEST_CASE("an answer of the store with bytes that can't be read")
 {
     const bool holds = rc::check([](const std::vector<std::uint8_t> &bytes) {
--- a/tests/src/unit-account.cpp
+++ b/tests/src/unit-account.cpp
@@ -47,8 +47,9 @@
         for (const char *key : {"", "key-3", "key-5", "key-1 "})
             CHECK(errorOf(accounts.authenticate(key)).m_text == unknown.m_text);
     }
-    // Two members' settings carry the same key by a copying mistake: whoever came first in the
-    // table would pay for the other's requests, and read the other's answers to job questions.
+    // Two members' settings contain the same key by mistake. If the first one in the table were
+    // used, that member would pay for the other's requests, and could read the other's answers to
+    // job queries.
     SECTION("a key of two members is nobody's")
     {
         accounts.set(member("frei", {"key-3"}));
--- a/tests/src/unit-decision-journal.cpp
+++ b/tests/src/unit-decision-journal.cpp
@@ -82,8 +82,8 @@
 
 TEST_CASE("the journal's memory stays within its bound")
 {
-    // A node runs for months. If the index kept subjects whose events are overwritten, explain
-    // would slowly eat the memory that requests need, and the node would die of it.
+    // Guards against a memory leak: if the index kept subjects whose events are overwritten, a node
+    // that runs for months would run out of memory for requests.
     const JournalLimits limits{1000, 100};
     DecisionJournal journal(NodeId("n"), limits);
     const std::string padding(maxDecisionSubjectBytes - 6, 'x');
--- a/tests/src/unit-docs.cpp
+++ b/tests/src/unit-docs.cpp
@@ -23,7 +23,7 @@
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-/// Returns the first groups of all matches.
+/// Returns the first capture groups of all matches.
 std::set<std::string> matches(const std::string &text, const std::string &pattern)
 {
     std::set<std::string> result;
@@ -50,8 +50,8 @@
 
 TEST_CASE("the operators' page")
 {
-    // An operator looks an error up at night and finds nothing, as it was added after the page was
-    // written; or follows an alert on a metric that no longer exists.
+    // Guards against an error that was added without an entry in the operations page, and against
+    // alerts on a metric that no longer exists.
     const std::string page = readPage("OPERATIONS.md");
     REQUIRE_FALSE(page.empty());
 
--- a/tests/src/unit-log.cpp
+++ b/tests/src/unit-log.cpp
@@ -64,7 +64,7 @@
                                        {LogField::State, true}});
         const std::string &line = lines.m_lines.at(0);
         CHECK(line.substr(0, 7) == "time=20");
-        CHECK(line.substr(line.find("Z ")) // behind the time, which is today's
+        CHECK(line.substr(line.find("Z ")) // after the time, which varies
               == "Z level=info event=upstream-left node=olten-a-1 data_centre=olten-a upstream=r-7 "
                  "reason=\"reclaim notice\" count=3 millis=1.5 state=true\n");
     }
@@ -84,7 +84,7 @@
     SECTION("stay one line with one meaning whatever a text holds")
     {
         // A caller sends a request id with a line break and a forged field. Unescaped, the log
-        // would show a second event that never took place, or steer the operator's terminal.
+        // would show an additional event that never happened, or control the operator's terminal.
         const std::string hostile = "x\nlevel=error event=forged \"a\\b\x1b[2J\xff\x7f";
         logger->info("request", {{LogField::Text, hostile}});
         CHECK(written("text")
@@ -95,8 +95,8 @@
 
     SECTION("hold no credential")
     {
-        // A library's error text quotes the header it could not read. Written as it is, whoever
-        // reads the log can act as that operator.
+        // A library's error text quotes the header that it could not parse. Written unredacted,
+        // anyone who reads the log could act as that operator.
         const std::string key = std::string(secretKeyPrefix) + "0123456789abcdef";
         logger->info("request", {{LogField::Text, "bad header: Bearer s3cret-value, again"}});
         CHECK(written("text") == "\"bad header: Bearer [redacted], again\"\n");
@@ -128,8 +128,8 @@
 
 TEST_CASE("log rate")
 {
-    // A data centre is cut off: every request fails, thousands of times a second. Without a rate
-    // for each event, the one line that names the cause drowns among them.
+    // A data centre is cut off, and every request fails, thousands of times per second. Without a
+    // rate limit per event, the one line that names the cause is lost among them.
     Clock clock;
     clock.pause();
     Lines lines;
@@ -220,8 +220,9 @@
 
 TEST_CASE("lines in batches on standard output")
 {
-    // Whoever collects the logs has stopped reading. The process goes on; lines are refused, to be
-    // counted, and once there is a reader again those held back come out whole and in order.
+    // The log collector has stopped reading. The process continues: lines are refused, to be
+    // counted. Once the collector reads again, the buffered lines are written completely and in
+    // order.
     std::array<int, 2> ends{};
     REQUIRE(pipe(ends.data()) == 0);
     const int output = dup(STDOUT_FILENO);
--- a/tests/src/unit-metrics.cpp
+++ b/tests/src/unit-metrics.cpp
@@ -73,7 +73,7 @@
         const std::string labels = "profile=\"phone\"";
         CHECK(contains(text, "# HELP " + name + " "));
         CHECK(contains(text, "# TYPE " + name + " histogram\n"));
-        // Empty ones at the beginning are left out, and none after them.
+        // Leading empty buckets are omitted, later ones are not.
         CHECK_FALSE(contains(text, name + "_bucket{" + labels + ",le=\"0.1\"}"));
         CHECK(contains(text, name + "_bucket{" + labels + ",le=\"0.35\"} 1\n"));
         CHECK(contains(text, name + "_bucket{" + labels + ",le=\"1.5\"} 2\n"));
@@ -89,7 +89,7 @@
         CHECK(contains(text, ofMember + "_bucket{member=\"acme\",le=\"+Inf\"} 2\n"));
         CHECK(contains(text, ofMember + "_sum{member=\"acme\"} 1.8\n"));
         CHECK(contains(text, ofMember + "_count{member=\"acme\"} 2\n"));
-        // What was never measured has no series.
+        // A latency that was never measured has no series.
         CHECK_FALSE(contains(text, "gypsumdale_queueing_seconds_count"));
         CHECK_FALSE(contains(text, "gypsumdale_requests_done_total{"));
     }
@@ -144,7 +144,7 @@
 
 TEST_CASE("the highest value since the last reading")
 {
-    // Guards against an old value that hides that lists have become young again.
+    // Guards against an old maximum that hides that the lists' age has decreased.
     HighestValue highest;
     CHECK_FALSE(highest.take());
     highest.note(-3);
@@ -158,8 +158,8 @@
 
 TEST_CASE("metrics cardinality")
 {
-    // A deployment script creates a member for each shop visitor. Without a cap each adds hundreds
-    // of samples until the process or the monitoring tool runs out of memory.
+    // A deployment script creates a member for each shop visitor. Without a limit, each of them
+    // adds hundreds of samples until the process or the monitoring tool runs out of memory.
     Metrics metrics({2, 1});
     RequestSeries &first = metrics.series(MemberId("m-0"), ProfileId("p-0"));
     for (int i = 0; i < 100; ++i) {
@@ -167,7 +167,7 @@
         metrics.series(MemberId("m-" + number), ProfileId("p-" + number))
                 .add(RequestCounter::Received);
     }
-    // Two members, one class, and "other" of both.
+    // Two members, one class, and one "other" each.
     CHECK(metrics.measuresCount() == 5);
     const std::string text = metrics.expose();
     const std::string ofMember = "gypsumdale_member_requests_received_total";
--- a/tests/src/unit-platform-codec.cpp
+++ b/tests/src/unit-platform-codec.cpp
@@ -147,8 +147,9 @@
     }
     SECTION("never has what a caller may not set")
     {
-        // A caller names another member's account, holds an engine's memory or continues another
-        // request's run. Passed on, the upstream would take it for the system's word.
+        // A caller sets the fields that name another member's account, reserve an engine's memory
+        // or continue another request's run. If they were forwarded, the upstream would trust them
+        // as set by the system.
         for (const char *name :
              {"Gypsumdale-Tenant", "gypsumdale-hold", "Gypsumdale-Pin-Ms", "Gypsumdale-Kv-Backup",
               "Kv-From", "kv-fetch", "Authorization", "Gypsumdale-Expect-Version"}) {
@@ -185,8 +186,8 @@
 
     SECTION("it is to another request")
     {
-        // A runner sends a late answer where the next one is due. Passed on, a buyer would get
-        // another's quote.
+        // A runner sends a late answer where the answer to the next request is expected. If it were
+        // forwarded, a buyer would get another buyer's quote.
         CHECK_FALSE(decodeAnswer(200, signedAnswer, RequestId("other")).m_isToThisRequest);
         CHECK_FALSE(decodeAnswer(200, headersOf({}), id).m_isToThisRequest);
     }
@@ -235,7 +236,7 @@
                                  {{355408423, {{AccountId("t1"), 40}, {AccountId("t2"), 2}}}}};
         CHECK(decodeUsage(encodeUsage(ledger, 3)) == ledger);
         CHECK(decodeUsage({"usage", 1, "no json"}) == UsageLedger());
-        // A ledger of a process that noted nothing.
+        // A ledger of a process that has noted nothing.
         const UsageLedger fixedOnly{{{7, {{AccountId("t1"), 4}}}}, {}};
         CHECK(decodeUsage({"usage", 1, R"({"windows":{"7":{"t1":4}}})"}) == fixedOnly);
     }
--- a/tests/src/unit-platform-entries.cpp
+++ b/tests/src/unit-platform-entries.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// An entry as an upstream writes it, with one field replaced or added.
+/// Returns an entry as an upstream writes it, with one field replaced or added.
 std::string entryWith(const std::string &field, const Json &value)
 {
     Json json = {{"service", "s"},
@@ -39,8 +39,9 @@
 
 } // namespace
 
-// Somebody else writes where upstreams register: by mistake, or a newer kind of upstream. Requests
-// sent to where such an entry points reached nobody, or an upstream that was no longer ready.
+// Another process writes to the place where upstreams register, by mistake or because it is a newer
+// kind of upstream. Requests sent to the address in such an entry reached nothing, or an upstream
+// that was no longer ready.
 TEST_CASE("an entry that is not an upstream's own word names no upstream to use")
 {
     REQUIRE(isUsable(entryWith("sequence", 4)));
@@ -97,8 +98,8 @@
     CHECK(changes[1].m_kind == UpstreamChangeKind::Present);
 }
 
-// One entry holds bytes that are no text. The parser refused the whole list for them, and a VM that
-// started then knew no upstream at all.
+// One entry contains bytes that are not UTF-8. The parser refused the whole list because of them,
+// and a VM that started then knew no upstream at all.
 TEST_CASE("text that can't be read costs only its own string")
 {
     const auto textIn = [](const std::string &bytes) {
@@ -118,8 +119,8 @@
     CHECK(parseOfManyWriters("[1").is_discarded());
 }
 
-// A megabyte of brackets in one entry: writing it out again for the feed overran the fiber's stack,
-// and every VM of the fleet ended each time it read the list.
+// One entry contains a megabyte of brackets. Serializing it for the feed overflowed the fiber's
+// stack, and every VM of the fleet crashed whenever it read the list.
 TEST_CASE("what is nested too deep is dropped")
 {
     const std::size_t depth = 200'000;
--- a/tests/src/unit-settings.cpp
+++ b/tests/src/unit-settings.cpp
@@ -30,7 +30,7 @@
     return findings ? *findings : Findings{};
 }
 
-/// Expects exactly one finding of a kind at a place.
+/// Expects exactly one finding with the given id at the given position.
 void expectOne(const std::string &text, ErrorId id, int line, int column)
 {
     const auto findings = findingsOf(text);
@@ -129,8 +129,8 @@
     CHECK(lines == std::vector<int>{1, 1, 2, 2, 3, 4});
 }
 
-// A colleague pastes ten lines of nested aliases that expand to 10^9 nodes, or a megabyte of
-// brackets. The admin call must come back at once with a finding, not with an exhausted VM.
+// An operator pastes ten lines of nested aliases that expand to 10^9 nodes, or a megabyte of
+// brackets. The admin call must return a finding immediately instead of exhausting the VM's memory.
 TEST_CASE("a document that would expand or nest without end is refused", "[settings]")
 {
     std::string bomb = "a: &a [x, x, x, x, x, x, x, x, x, x]\n";
@@ -150,7 +150,7 @@
             deep += open;
         CHECK_FALSE(findingsOf(deep).empty());
     }
-    // Keys that are themselves maps, aliases to an outer node, and bytes that are no text.
+    // Keys that are maps, aliases to an enclosing node, and bytes that are not UTF-8.
     for (const char *odd :
          {"? {a: b}\n: c\n", "&a [*a]", "\xff\xfe\x00", "%YAML 9\n---\n", "!!binary x"})
         CHECK_FALSE(findingsOf(odd).empty());
