--- a/include/gypsumdale/settings/entry_settings.hpp
+++ b/include/gypsumdale/settings/entry_settings.hpp
@@ -28,7 +28,7 @@
     Duration m_usageWindow = std::chrono::seconds(5);
     /// Time after the end of a usage window within which it must be reported.
     Duration m_usageDue = std::chrono::seconds(10);
-    /// Minimum time between actions of two different holders of the duties.
+    /// Time within which two holders of the duties must not act alternately.
     Duration m_leaseTerm = std::chrono::seconds(3);
     /// Time after the store's acknowledgement within which a configuration version takes effect,
     /// and time after an upstream's announcement of leaving within which it receives no more
