--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures what one gypsumdaled adds to a call: starts stand-ins and the daemon on free ports,
-# runs bench-overhead and ends what it started.
-# Usage: bench.sh BUILD_FOLDER [further arguments of bench-overhead]
+# Measures the overhead that one gypsumdaled adds to a call: starts stand-ins and the daemon on free
+# ports, runs bench-overhead and stops the started processes.
+# Usage: bench.sh BUILD_FOLDER [additional arguments of bench-overhead]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=$1
@@ -21,19 +21,19 @@
 }
 trap finish EXIT
 
-# Waits until a file has a line that begins with a text.
+# await_line FILE PATTERN: waits until a line of the file matches the pattern.
 await_line() {
     local tries
     for ((tries = 0; tries < 200; ++tries)); do
         grep -q "$2" "$1" && return 0
         sleep 0.05
     done
-    echo "bench: no '$2' in $1:" >&2
+    echo "bench: timed out waiting for '$2' in $1:" >&2
     cat "$1" >&2
     return 1
 }
 
-# Prints a port that nothing listens on and that it has not printed before.
+# Sets `port` to a port that nothing listens on and that no earlier call returned.
 next_port=$((20000 + RANDOM % 8000))
 free_port() {
     while :; do
@@ -63,7 +63,7 @@
     fast+=("127.0.0.1:$port")
 done
 
-# The stand-ins' fleet, and the daemon's own settings with the same upstreams.
+# Settings of the stand-ins, and of the daemon with the same upstreams.
 {
     echo "{\"control\": \"$control\", \"loops\": 6, \"instances\": ["
     echo "{\"role\": \"platform\", \"name\": \"platform\", \"listen\": \"$platform\"},"
--- a/scripts/install-deps.sh
+++ b/scripts/install-deps.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what gypsumdale builds with, by name from Debian. Does nothing if all is there.
+# Installs the Debian packages that gypsumdale is built with. Does nothing if all are installed.
 set -euo pipefail
 packages=(
     build-essential ca-certificates ccache clang-format clang-tidy cmake curl git ninja-build
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over the product's sources, several files at a time.
+# Runs clang-tidy on the sources of the programs and libraries, several files in parallel.
 # Usage: lint.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/run-tests.sh
+++ b/scripts/run-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests of a build. Tests named in KNOWN-RED.txt run too: their result is printed and does
-# not decide the verdict.
+# Runs all tests of a build. Tests listed in KNOWN-RED.txt run as well; their results are printed but
+# do not affect the exit status.
 # Usage: run-tests.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -12,7 +12,7 @@
 exclude=()
 if [ "${#known[@]}" -gt 0 ]; then
     pattern="^($(IFS='|'; echo "${known[*]}"))\$"
-    echo "known red, run without deciding the verdict:"
+    echo "known failing tests, which do not affect the exit status:"
     cat KNOWN-RED.txt
     ctest --test-dir "$build" --output-on-failure -R "$pattern" || true
     exclude=(-E "$pattern")
