--- a/tests/src/unit-ctl.cpp
+++ b/tests/src/unit-ctl.cpp
@@ -53,7 +53,7 @@
     return {{ErrorId::Timeout, "no answer"}, phase};
 }
 
-/// A tool whose nodes answer from a list, in order; the last answer stands for all later calls.
+/// Runs gypsumctl with fake nodes that give the listed answers in order; the last one is repeated.
 struct Bench
 {
     ExitCode run(const std::vector<std::string> &arguments)
@@ -133,7 +133,7 @@
     CHECK(exitCodeFor(errorReply(400, ErrorId::RequestMalformed)) == ExitCode::Usage);
     CHECK(exitCodeFor(errorReply(500, ErrorId::Internal)) == ExitCode::Failed);
     CHECK(exitCodeFor(errorReply(503, ErrorId::PlatformAnswerLost)) == ExitCode::OutcomeUnknown);
-    // A balancer answers in its own words.
+    // A load balancer answers without the error body of a node.
     CHECK(exitCodeFor(reply(502, "<html>")) == ExitCode::Unreachable);
     CHECK(exitCodeFor(reply(404, "[1,2]")) == ExitCode::NotFound);
     CHECK(exitCodeFor(reply(418, "{\"error\":7}")) == ExitCode::Failed);
@@ -230,8 +230,8 @@
 
     SECTION("goes on to the next entry and stays with the one that answered")
     {
-        // One entry VM was reclaimed and another is leaving. An operator in a hurry must still get
-        // an answer from whichever is left.
+        // One entry VM was reclaimed and another is draining. The operator must still get an answer
+        // from the remaining one.
         bench.m_environment["GYPSUMDALE_ENTRY"] = "127.0.0.1:1,127.0.0.1:2,127.0.0.1:3";
         bench.m_answers = {failure(SendPhase::NothingSent), errorReply(503, ErrorId::Draining),
                            reply(200, "{\"node\":\"c\"}")};
@@ -313,8 +313,8 @@
 
     SECTION("shows both versions of a conflict")
     {
-        // Two operators edit the same profile. Without the check the second would undo the first's
-        // change without either of them noticing.
+        // Two operators edit the same profile. Without the version check the second write would
+        // silently undo the first.
         bench.m_answers = {versioned(200, 12, "old"), versioned(409, 13, rivalBody, true)};
         CHECK(bench.run(apply) == ExitCode::Conflict);
         CHECK(bench.said("you edited version 12, but version 13 is current"));
@@ -323,8 +323,8 @@
 
     SECTION("settles a lost answer")
     {
-        // The write reaches the platform, and the connection dies before the answer. The operator
-        // must not be told "failed", nor may the write be sent blindly to another entry.
+        // The write reaches the platform, and the connection breaks before the answer. The tool
+        // must neither report a failure nor send the write unconditionally to another entry.
         bench.m_answers = {versioned(200, 12, "old"), failure(SendPhase::MayHaveBeenRead)};
 
         SECTION("that took effect")
@@ -421,7 +421,7 @@
            + "\",\"data_centre\":\"a\"," + rest + "}\n";
 }
 
-/// Logs of three machines, the clock of the second an hour ahead.
+/// Logs of three machines; the clock of the second is one hour ahead.
 std::map<std::string, std::string> threeLogs()
 {
     const std::string draining =
@@ -444,13 +444,13 @@
 
 } // namespace
 
-// A caller complains an hour later. On call has the logs of three machines and no process to ask;
-// the machine that served the request had a clock that was an hour ahead.
+// Guards the explanation of a past request from logs alone: no process can be queried, and the
+// clock of the machine that served the request was one hour ahead of the other two.
 TEST_CASE("explain from logs")
 {
     Bench bench;
     bench.m_files = threeLogs();
-    // No node is asked, and none need be known.
+    // No node is queried, so no entry needs to be configured.
     bench.m_environment.clear();
 
     SECTION("a request, with what its machine believed and what happened to it")
@@ -477,7 +477,7 @@
         CHECK(bench.run({"explain", "upstream", "i-1", "--log", "a.log", "b.log", "c.log"})
               == ExitCode::Ok);
         CHECK(bench.m_out.find("  a ") < bench.m_out.find("  c "));
-        // Put right to within what the news took from one machine to the next.
+        // The corrected time is accurate to within the delay of the store update between machines.
         CHECK(bench.m_out.find("07:03:21.550Z  b ") != std::string::npos);
         CHECK(bench.m_out.find("request-placed") == std::string::npos);
     }
