--- a/src/ctl/command_show.cpp
+++ b/src/ctl/command_show.cpp
@@ -130,7 +130,7 @@
         session.m_surroundings.m_print(reply.m_body + '\n');
     else
         session.m_surroundings.m_print(fmt::format(
-                "{} {} takes no new requests; `gypsumctl {}s` shows when it has finished\n",
+                "{} {} accepts no new requests; `gypsumctl {}s` shows when it has finished\n",
                 words[0], printable(words[1]), words[0]));
     return ExitCode::Ok;
 }
--- a/src/ctl/document.cpp
+++ b/src/ctl/document.cpp
@@ -149,7 +149,7 @@
     }
     findings.push_back({ErrorId::SettingsWrongType,
                         {document.m_path, written.m_line, 0},
-                        "the version is not a whole number",
+                        "the version is not a non-negative integer",
                         "remove the line to replace the current version"});
 }
 
