--- a/standins/answer.hpp
+++ b/standins/answer.hpp
@@ -11,15 +11,16 @@
 
 namespace gypsumdale::standins {
 
-/// Returns the hash that every token of an answer is computed from. Linear.
+/// Returns the hash from which every token of an answer is computed.
+/// Complexity: linear in the length of the prompt.
 inline std::uint64_t promptHash(std::string_view prompt)
 {
     return XXH64(prompt.data(), prompt.size(), 0);
 }
 
-/// Returns the token at an index of the answer to a prompt, a word with a leading space. Depends on
-/// nothing else, so that a resumed answer goes on exactly where the first attempt stopped.
-/// Constant.
+/// Returns the token at an index of the answer to a prompt: a word with a leading space. It depends
+/// only on the hash and the index, so a resumed answer continues exactly where the first attempt
+/// stopped. Complexity: constant.
 inline std::string answerToken(std::uint64_t hash, int index)
 {
     constexpr std::string_view consonants = "bcdfghjklmnprstvwxyz";
@@ -36,7 +37,7 @@
     return token;
 }
 
-/// Returns how many tokens the answer to a prompt has when nothing bounds it. Constant.
+/// Returns the number of tokens of an answer without a length limit. Complexity: constant.
 inline int naturalLength(std::uint64_t hash)
 {
     constexpr std::uint64_t shortest = 16;
@@ -44,15 +45,16 @@
     return static_cast<int>(shortest + hash % spread);
 }
 
-/// Returns how many tokens the answer has: the length asked for by `target_tokens`, or the prompt's
-/// natural one, cut at the caller's `max_tokens`. Constant.
+/// Returns the number of tokens of an answer: the requested `target_tokens`, or the natural length
+/// of the prompt's answer, limited by the caller's `max_tokens`. Complexity: constant.
 inline int answerLength(std::uint64_t hash, int maxTokens,
                         std::optional<int> targetTokens = std::nullopt)
 {
     return std::min(maxTokens, targetTokens.value_or(naturalLength(hash)));
 }
 
-/// Returns the whole text that an engine stand-in answers to a prompt. Linear in its length.
+/// Returns the full text that an engine stand-in answers to a prompt.
+/// Complexity: linear in the length of the answer.
 inline std::string expectedAnswer(std::string_view prompt, int maxTokens,
                                   std::optional<int> targetTokens = std::nullopt)
 {
--- a/standins/buffered_responder.hpp
+++ b/standins/buffered_responder.hpp
@@ -6,53 +6,56 @@
 
 namespace gypsumdale::standins {
 
-/// Keeps an answer instead of sending it, for calls that come without a connection of their own.
+/// Stores an answer in memory instead of sending it, for calls without a connection of their own.
 class BufferedResponder : public HttpResponder
 {
 public:
     bool send(const HttpReply &reply) override
     {
         m_reply = reply;
-        m_whole = true;
-        return !m_gone;
+        m_complete = true;
+        return !m_callerGone;
     }
     bool begin(int status, const HttpHeaders &headers) override
     {
         m_reply.m_status = status;
         m_reply.m_headers = headers;
-        return !m_gone;
+        return !m_callerGone;
     }
     bool write(std::string_view chunk) override
     {
         m_reply.m_body += chunk;
-        return !m_gone;
+        return !m_callerGone;
     }
     bool finish() override
     {
-        m_whole = true;
-        return !m_gone;
+        m_complete = true;
+        return !m_callerGone;
+    }
+    bool callerGone() const override { return m_callerGone; }
+    void onCallerGone(std::function<void()> action) override
+    {
+        m_callerGoneAction = std::move(action);
     }
-    bool callerGone() const override { return m_gone; }
-    void onCallerGone(std::function<void()> action) override { m_action = std::move(action); }
 
-    /// Behaves from now on as if the caller had closed its connection.
+    /// Simulates that the caller closed its connection.
     void leave()
     {
-        m_gone = true;
-        if (m_action)
-            m_action();
+        m_callerGone = true;
+        if (m_callerGoneAction)
+            m_callerGoneAction();
     }
 
     const HttpReply &reply() const { return m_reply; }
 
-    /// Tells whether the answer came to its proper end.
-    bool isWhole() const { return m_whole; }
+    /// Returns whether the answer was finished and not cut off.
+    bool isWhole() const { return m_complete; }
 
 private:
     HttpReply m_reply;
-    std::function<void()> m_action;
-    bool m_whole = false;
-    bool m_gone = false;
+    std::function<void()> m_callerGoneAction;
+    bool m_complete = false;
+    bool m_callerGone = false;
 };
 
 } // namespace gypsumdale::standins
--- a/standins/cloud.cpp
+++ b/standins/cloud.cpp
@@ -13,7 +13,7 @@
     std::string id = vm.m_id;
     Record record;
     record.m_vm = std::move(vm);
-    record.m_bornAt = runsFrom;
+    record.m_startedAt = runsFrom;
     m_records.insert_or_assign(id, std::move(record));
     return id;
 }
@@ -24,32 +24,32 @@
     if (found == m_records.end())
         return;
     found->second.m_vm.m_port = port;
-    found->second.m_bornAt = now;
+    found->second.m_startedAt = now;
 }
 
 bool Cloud::remove(const std::string &id, TimePoint now)
 {
     const auto found = m_records.find(id);
-    if (found == m_records.end() || found->second.m_goneAt)
+    if (found == m_records.end() || found->second.m_removedAt)
         return false;
-    found->second.m_goneAt = now;
+    found->second.m_removedAt = now;
     return true;
 }
 
 std::vector<std::string> Cloud::reclaim(const std::string &id, const std::string &zone,
                                         WallMillis deadline, TimePoint now)
 {
-    std::vector<std::string> struck;
+    std::vector<std::string> affected;
     for (auto &[recordId, record] : m_records) {
         const bool meant = id.empty() ? record.m_vm.m_zone == zone : recordId == id;
-        if (!meant || record.m_goneAt)
+        if (!meant || record.m_removedAt)
             continue;
         if (!record.m_leavingAt)
             record.m_leavingAt = now;
-        struck.push_back(recordId);
+        affected.push_back(recordId);
     }
     m_notices.push_back({m_notices.size() + 1, id, zone, deadline});
-    return struck;
+    return affected;
 }
 
 std::vector<ListedVm> Cloud::list(TimePoint now, Duration extraLag) const
@@ -57,7 +57,7 @@
     const TimePoint seen = now - m_listLag - extraLag;
     std::vector<ListedVm> result;
     for (const auto &[id, record] : m_records) {
-        if (record.m_bornAt > seen || (record.m_goneAt && *record.m_goneAt <= seen))
+        if (record.m_startedAt > seen || (record.m_removedAt && *record.m_removedAt <= seen))
             continue;
         const bool leaving = record.m_leavingAt && *record.m_leavingAt <= seen;
         result.push_back({record.m_vm, leaving});
@@ -68,7 +68,7 @@
 std::optional<Vm> Cloud::find(const std::string &id) const
 {
     const auto found = m_records.find(id);
-    if (found == m_records.end() || found->second.m_goneAt)
+    if (found == m_records.end() || found->second.m_removedAt)
         return std::nullopt;
     return found->second.m_vm;
 }
--- a/standins/cloud.hpp
+++ b/standins/cloud.hpp
@@ -10,7 +10,7 @@
 
 namespace gypsumdale::standins {
 
-/// A VM as the cloud knows it.
+/// A VM in the cloud's records.
 struct Vm
 {
     std::string m_id;
@@ -22,14 +22,14 @@
     bool m_reclaimable = true;
 };
 
-/// A line of the VM list, as it was one lag ago.
+/// An entry of the VM list, which shows the state of one list lag ago.
 struct ListedVm
 {
     Vm m_vm;
     bool m_leaving = false;
 };
 
-/// What one class of VM costs in one zone.
+/// Price of one VM class in one zone.
 struct Price
 {
     std::string m_zone;
@@ -38,7 +38,7 @@
     double m_perHour = 0;
 };
 
-/// Tells that a VM, or with an empty VM the whole zone, goes away at the deadline.
+/// Announces that a VM, or the whole zone if the VM is empty, is reclaimed at the deadline.
 struct ReclaimNotice
 {
     std::uint64_t m_sequence = 0;
@@ -47,39 +47,40 @@
     WallMillis m_deadline = 0;
 };
 
-/// The cloud's VMs, prices and notices, without sockets or a clock of its own.
+/// The cloud's VMs, prices and reclaim notices. Uses no sockets and no clock; callers pass the
+/// time.
 class Cloud
 {
 public:
-    /// The list shows what was true this long ago.
+    /// Creates a cloud whose VM list shows the state of `listLag` ago.
     explicit Cloud(Duration listLag)
         : m_listLag(listLag)
     {}
 
-    /// Adds a VM that runs from a time on (TimePoint::max() until it is started) and returns its
-    /// id, a new one unless it brings one. Logarithmic.
+    /// Adds a VM that runs from the given time (TimePoint::max() until it is started) and returns
+    /// its id, which is generated if the VM has none. Complexity: logarithmic.
     std::string add(Vm vm, TimePoint runsFrom);
 
-    /// Says that a VM's service answers on a port from now on; the list shows the VM a lag later.
-    /// Logarithmic.
+    /// Records that a VM's service answers on a port from now on; the list shows the VM one list
+    /// lag later. Complexity: logarithmic.
     void start(const std::string &id, std::uint16_t port, TimePoint now);
 
-    /// Marks a VM as gone; returns false if it is not there. Logarithmic.
+    /// Marks a VM as removed; returns false if there is no such VM. Complexity: logarithmic.
     bool remove(const std::string &id, TimePoint now);
 
-    /// Announces the end of a VM, or of a zone where the VM's id is empty, marks all that it
-    /// strikes as leaving and returns the ids. Linear in the VMs.
+    /// Adds a notice for a VM, or for a whole zone if the VM's id is empty, marks the affected VMs
+    /// as leaving and returns their ids. Complexity: linear in the number of VMs.
     std::vector<std::string> reclaim(const std::string &id, const std::string &zone,
                                      WallMillis deadline, TimePoint now);
 
-    /// Returns the VMs that are not gone, as the lagging list shows them, with a lag added to the
-    /// ordinary one. Linear.
+    /// Returns the VMs that were present one list lag plus `extraLag` ago.
+    /// Complexity: linear in the number of VMs.
     std::vector<ListedVm> list(TimePoint now, Duration extraLag = {}) const;
 
-    /// Returns a VM that is not gone, or nothing. Logarithmic.
+    /// Returns a VM that was not removed, or nothing. Complexity: logarithmic.
     std::optional<Vm> find(const std::string &id) const;
 
-    /// Returns the notices behind a number. Linear in them.
+    /// Returns the notices after a sequence number. Complexity: linear in their number.
     std::vector<ReclaimNotice> noticesAfter(std::uint64_t sequence) const;
     std::uint64_t lastNotice() const { return m_notices.size(); }
 
@@ -90,9 +91,9 @@
     struct Record
     {
         Vm m_vm;
-        TimePoint m_bornAt;
+        TimePoint m_startedAt;
         std::optional<TimePoint> m_leavingAt;
-        std::optional<TimePoint> m_goneAt;
+        std::optional<TimePoint> m_removedAt;
     };
 
     Duration m_listLag;
--- a/standins/cloud_server.cpp
+++ b/standins/cloud_server.cpp
@@ -66,10 +66,10 @@
     , m_startTime(settings.m_startTime)
     , m_cloud(settings.m_listLag)
 {
-    // What is there at the start has been there for longer than any lag.
-    const TimePoint longAgo = clock.now() - std::chrono::hours(1);
+    // Initial VMs are dated back by more than any list lag, so that the list shows them at once.
+    const TimePoint beforeListLag = clock.now() - std::chrono::hours(1);
     for (Vm &vm : settings.m_vms)
-        m_cloud.add(std::move(vm), longAgo);
+        m_cloud.add(std::move(vm), beforeListLag);
     m_cloud.setPrices(std::move(settings.m_prices));
 }
 
@@ -113,7 +113,7 @@
     if (path == vmsPath && posts)
         return rent(request, line);
     if (path.starts_with(vmPrefix) && request.m_method == "DELETE")
-        return giveBack(std::string(path.substr(vmPrefix.size())));
+        return releaseVm(std::string(path.substr(vmPrefix.size())));
     if (path == "/v1/prices" && reads)
         return listPrices();
     if (path == "/v1/notices" && reads)
@@ -161,7 +161,7 @@
     return jsonReply(201, describeVm(vm));
 }
 
-HttpReply CloudServer::giveBack(const std::string &id)
+HttpReply CloudServer::releaseVm(const std::string &id)
 {
     const auto vm = m_cloud.find(id);
     if (!vm)
@@ -198,10 +198,10 @@
     const auto after = std::strtoull(request.parameter("after").value_or("0").c_str(), nullptr, 10);
     const auto wanted = request.parameter("timeoutMs");
     const double millis = wanted ? std::strtod(wanted->c_str(), nullptr) : defaultPollMillis;
-    responder.onCallerGone([this] { m_noticed.notify_all(); });
+    responder.onCallerGone([this] { m_noticeAdded.notify_all(); });
     {
         std::unique_lock lock(m_mutex);
-        m_noticed.wait_for(lock, std::min(longestPoll, fromMillis(millis)), [&] {
+        m_noticeAdded.wait_for(lock, std::min(longestPoll, fromMillis(millis)), [&] {
             return m_cloud.lastNotice() > after || responder.callerGone() || !m_lifetime.isAlive();
         });
     }
@@ -232,14 +232,14 @@
     const WallMillis deadline =
             m_clock.wallNow()
             + std::chrono::duration_cast<std::chrono::milliseconds>(notice).count();
-    const auto struck = m_cloud.reclaim(id, zone, deadline, m_clock.now());
-    m_noticed.notify_all();
+    const auto affected = m_cloud.reclaim(id, zone, deadline, m_clock.now());
+    m_noticeAdded.notify_all();
     const bool kills = flagField(body, "die", true);
-    m_loop.spawn([this, struck, notice, kills] {
+    m_loop.spawn([this, affected, notice, kills] {
         sleepFiber(notice);
-        end(struck, kills);
+        end(affected, kills);
     });
-    return jsonReply(200, {{"deadlineMillis", deadline}, {"vms", struck}});
+    return jsonReply(200, {{"deadlineMillis", deadline}, {"vms", affected}});
 }
 
 void CloudServer::end(const std::vector<std::string> &ids, bool kills)
@@ -264,7 +264,7 @@
     call.m_target = "/admin/die";
     call.m_headerTimeout = std::chrono::seconds(1);
     call.m_freshConnection = true;
-    // The answer may be lost: the one that answers is dying.
+    // The VM may stop before it answers, so the result is ignored.
     static_cast<void>(m_client.call(call));
 }
 
--- a/standins/cloud_server.hpp
+++ b/standins/cloud_server.hpp
@@ -17,20 +17,20 @@
 
 namespace gypsumdale::standins {
 
-/// How the cloud behaves.
+/// Settings of the cloud stand-in.
 struct CloudSettings
 {
     Duration m_listLag = std::chrono::seconds(2);
-    /// From a rental to the moment its VM's service answers.
+    /// Time from a rental until the VM's service answers.
     Duration m_startTime = std::chrono::seconds(1);
     std::vector<Vm> m_vms;
     std::vector<Price> m_prices;
 };
 
-/// Starts what runs on a rented VM and returns its port, or nothing if it can't.
+/// Starts the service of a rented VM and returns its port, or nothing if the start fails.
 using VmStarter = std::function<std::optional<std::uint16_t>(const Vm &vm)>;
 
-/// Speaks the cloud API of docs/PLATFORM.md for a Cloud. All calls run on one loop.
+/// Serves the cloud API of docs/PLATFORM.md on a Cloud. All calls run on one loop.
 class CloudServer
 {
 public:
@@ -38,7 +38,7 @@
 
     void handle(const HttpRequest &request, HttpResponder &responder);
 
-    /// Sets what to start on rented VMs; without it a rental has no port.
+    /// Sets the function that starts services on rented VMs; without it a rental has no port.
     void setStarter(VmStarter starter) { m_starter = std::move(starter); }
 
     Lifetime &lifetime() { return m_lifetime; }
@@ -48,7 +48,7 @@
     HttpReply answer(const HttpRequest &request, HttpResponder &responder);
     HttpReply listVms(const std::string &line);
     HttpReply rent(const HttpRequest &request, const std::string &line);
-    HttpReply giveBack(const std::string &id);
+    HttpReply releaseVm(const std::string &id);
     HttpReply listPrices() const;
     HttpReply setPrices(const Json &body);
     HttpReply waitForNotices(const HttpRequest &request, HttpResponder &responder);
@@ -65,7 +65,7 @@
     FaultPlan m_faults;
     Lifetime m_lifetime;
     boost::fibers::mutex m_mutex;
-    boost::fibers::condition_variable m_noticed;
+    boost::fibers::condition_variable m_noticeAdded;
 };
 
 /// Reads a list of VMs, `[{"id","address","port","zone","class","service","reclaimable"}]`.
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -95,7 +95,7 @@
     sequence.m_usage.m_cachedTokens = held;
     m_counters.m_prefilledTokens += static_cast<std::uint64_t>(total - held);
     m_counters.m_cachedTokens += static_cast<std::uint64_t>(held);
-    remember(sequence, now);
+    storeBlocks(sequence, now);
     return fromMillis(1000.0 * (total - held) / m_settings.m_prefillTokensPerSecond);
 }
 
@@ -220,7 +220,7 @@
         m_queue.erase(first);
         ++m_running;
     }
-    noteLoad(now);
+    recordLoad(now);
 }
 
 void Engine::release(SequenceId id, TimePoint now)
@@ -230,7 +230,7 @@
         return;
     const Sequence &sequence = found->second;
     if (sequence.m_admitted) {
-        remember(sequence, now);
+        storeBlocks(sequence, now);
         importSession(sequence.m_request.m_attempt,
                       {{"prompt_hash", sequence.m_hash}, {"tokens", sequence.m_next}});
         --m_running;
@@ -241,7 +241,7 @@
     admit(now);
 }
 
-void Engine::remember(const Sequence &sequence, TimePoint now)
+void Engine::storeBlocks(const Sequence &sequence, TimePoint now)
 {
     std::string context = sequence.m_request.m_prompt;
     for (int index = 0; index < sequence.m_next; ++index)
@@ -257,7 +257,7 @@
         m_cacheEvents.pop_front();
 }
 
-void Engine::noteLoad(TimePoint now)
+void Engine::recordLoad(TimePoint now)
 {
     LoadReport report;
     report.m_at = now;
@@ -265,7 +265,7 @@
     report.m_queued = static_cast<int>(m_queue.size());
     report.m_cachedTokens = m_cache.size() * blockWords;
     m_reports.push_back(report);
-    // Nobody may ever ask for the load; without this the history would grow for ever.
+    // load() may never be called, so the history is also trimmed here to keep it bounded.
     while (m_reports.size() > 1 && std::next(m_reports.begin())->m_at <= now - m_settings.m_loadLag)
         m_reports.pop_front();
 }
--- a/standins/engine.hpp
+++ b/standins/engine.hpp
@@ -15,27 +15,27 @@
 
 namespace gypsumdale::standins {
 
-/// How an engine behaves.
+/// Settings of an engine stand-in.
 struct EngineSettings
 {
     std::string m_model = "gypsum-llm";
     int m_slots = 16;
     double m_prefillTokensPerSecond = 8000;
-    /// Time between two tokens of a sequence that runs alone.
+    /// Time between two tokens of a sequence that is alone in the batch.
     Duration m_tokenTime = std::chrono::milliseconds(20);
-    /// Added to it by each further sequence in the batch.
+    /// Added to the token time for each further sequence in the batch.
     Duration m_tokenTimeGrowth = std::chrono::milliseconds(1);
-    /// Age of what GET /load reports.
+    /// Age of the state that GET /load reports.
     Duration m_loadLag = std::chrono::milliseconds(200);
     std::size_t m_cacheBlocks = 4096;
     Duration m_cacheEventLag = std::chrono::milliseconds(500);
-    /// Every so many'th cache event is never published; 0 publishes all.
+    /// Every Nth cache event is never published; 0 publishes all events.
     int m_cacheEventGap = 0;
     bool m_checksFences = true;
     std::int64_t m_incarnation = 1;
 };
 
-/// What a caller asked to have generated.
+/// Parameters of a completion request.
 struct GenerationRequest
 {
     std::string m_attempt;
@@ -49,11 +49,11 @@
     bool m_stream = false;
 };
 
-/// Reads the body of POST /v1/chat/completions. The prompt is the contents of the messages, joined
+/// Parses the body of POST /v1/chat/completions. The prompt is the contents of the messages, joined
 /// by line feeds. Returns nothing for a body without messages.
 std::optional<GenerationRequest> readGenerationRequest(const Json &json);
 
-/// One generated token. The finish reason is empty but for the last.
+/// One generated token. The finish reason is empty except in the last token.
 struct Token
 {
     int m_index = 0;
@@ -61,7 +61,7 @@
     std::string_view m_finishReason;
 };
 
-/// What one answer cost.
+/// Token counts of one answer.
 struct Usage
 {
     int m_promptTokens = 0;
@@ -69,21 +69,21 @@
     int m_completionTokens = 0;
 };
 
-/// What an engine has done since it started.
+/// Counters of an engine since its start.
 struct EngineCounters
 {
     std::uint64_t m_started = 0;
     std::uint64_t m_finished = 0;
     std::uint64_t m_cancelled = 0;
     std::uint64_t m_generatedTokens = 0;
-    /// Tokens read before the first one was generated, without those found in a cache.
+    /// Prompt and resumed tokens that were prefilled, without those found in a cache.
     std::uint64_t m_prefilledTokens = 0;
     std::uint64_t m_cachedTokens = 0;
-    /// Resumed answers whose text so far was not what this engine would have generated.
+    /// Resumed answers whose earlier text differs from what this engine generates.
     std::uint64_t m_resumeMismatches = 0;
 };
 
-/// What GET /load reports, and when it was true.
+/// Content of GET /load and the time at which it was measured.
 struct LoadReport
 {
     TimePoint m_at;
@@ -96,58 +96,61 @@
 
 using SequenceId = std::uint64_t;
 
-/// A model engine's scheduler, caches and counters, without sockets or a clock of its own. The
-/// caller submits a request, waits until it is admitted, prefills it, takes its tokens one by one
-/// at the pace of tokenTime() and ends it.
+/// Scheduler, caches and counters of a model engine. Uses no sockets and no clock; callers pass the
+/// time. The caller submits a request, waits until it is admitted, prefills it, generates its
+/// tokens one by one at intervals of tokenTime() and finishes or cancels it.
 class Engine
 {
 public:
     explicit Engine(EngineSettings settings);
 
-    /// Queues a request by priority (0 first) and order of arrival, and admits what has a slot.
+    /// Queues a request by priority (0 first) and order of arrival, and admits queued requests to
+    /// free slots.
     SequenceId submit(GenerationRequest request, TimePoint now);
 
-    /// Tells whether the sequence holds a slot of the batch. Logarithmic.
+    /// Returns whether the sequence holds a slot of the batch. Complexity: logarithmic.
     bool isAdmitted(SequenceId id) const;
 
-    /// Looks the prompt and the answer so far up in the caches, counts what has to be read and
-    /// returns how long that takes. Linear in the prompt.
+    /// Looks up the prompt and the earlier text of the answer in the caches, counts the tokens that
+    /// must be prefilled and returns the duration. Complexity: linear in the length of the prompt.
     Duration prefill(SequenceId id, TimePoint now);
 
-    /// Returns the time to the next token at the present size of the batch. Constant.
+    /// Returns the time to the next token at the current batch size. Complexity: constant.
     Duration tokenTime() const;
 
-    /// Generates the next token, or nothing if the answer is complete.
+    /// Generates the next token; returns nothing if the answer is complete.
     std::optional<Token> generate(SequenceId id);
 
     Usage usage(SequenceId id) const;
 
-    /// Why an answer ends: "length" if the caller's limit cut it, else "stop".
+    /// Returns why an answer ends: "length" if the caller's limit cut it off, else "stop".
     std::string_view finishReason(SequenceId id) const;
 
-    /// Ends a sequence that is complete and admits the next. Its blocks stay cached.
+    /// Ends a complete sequence and admits the next one. The blocks of the sequence stay cached.
     void finish(SequenceId id, TimePoint now);
 
-    /// Ends a sequence that is waiting or running, as a closed connection does.
+    /// Ends a waiting or running sequence, as when its caller closes the connection.
     void cancel(SequenceId id, TimePoint now);
 
-    /// Returns the load as it was one lag ago.
+    /// Returns the load of one load lag ago.
     LoadReport load(TimePoint now);
 
     const EngineCounters &counters() const { return m_counters; }
     const EngineSettings &settings() const { return m_settings; }
 
-    /// Returns the published cache events behind a number, oldest first, and the last number seen.
+    /// Returns the published cache events after a sequence number, oldest first, and the sequence
+    /// number of the last of them, or `after` if there are none.
     Json cacheEvents(std::uint64_t after, TimePoint now) const;
 
-    /// Exports the state of a session, named by its attempt; nothing if it is not known.
+    /// Exports the state of a session, named by its attempt; returns nothing for an unknown
+    /// session.
     std::optional<Json> exportSession(const std::string &session) const;
 
-    /// Imports a session; a request that names it skips the prefill of what it covers. Returns
-    /// false for a document that is no export.
+    /// Imports a session; a request that names the session skips the prefill of the tokens that it
+    /// covers. Returns false if the document is not an export.
     bool importSession(const std::string &session, const Json &document);
 
-    /// Carries out an order unless its fence is older than one seen and this engine checks them.
+    /// Applies an order, unless this engine checks fences and has seen a newer one.
     OrderOutcome order(std::int64_t fence, const Json &body);
 
     std::int64_t highestFence() const { return m_highestFence; }
@@ -178,8 +181,8 @@
 
     void admit(TimePoint now);
     void release(SequenceId id, TimePoint now);
-    void remember(const Sequence &sequence, TimePoint now);
-    void noteLoad(TimePoint now);
+    void storeBlocks(const Sequence &sequence, TimePoint now);
+    void recordLoad(TimePoint now);
     int tokensInSession(const Sequence &sequence) const;
 
     EngineSettings m_settings;
--- a/standins/engine_server.cpp
+++ b/standins/engine_server.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-/// One answer under way and the faults that will strike it.
+/// One unfinished answer and the faults to inject into it.
 struct EngineServer::Stream
 {
     SequenceId m_sequence = 0;
@@ -96,7 +96,7 @@
         complete(request, responder);
         return;
     }
-    responder.send(answerSmallCall(request));
+    responder.send(answerAuxiliaryCall(request));
 }
 
 void EngineServer::complete(const HttpRequest &request, HttpResponder &responder)
@@ -116,7 +116,7 @@
     stream.m_model = m_engine.settings().m_model;
     stream.m_firstIndex = generation->m_resumeTokens;
     stream.m_cut = m_faults.take(FaultKind::CutStream, line);
-    // A stream breaks in one way; the other faults wait for the next request.
+    // Only one fault ends a stream; the others are kept for later requests.
     if (!stream.m_cut)
         stream.m_end = m_faults.take(FaultKind::EndEarly, line);
     if (!stream.m_cut && !stream.m_end)
@@ -126,7 +126,7 @@
     if (const auto slow = m_faults.take(FaultKind::Slow, line))
         stream.m_extraTokenTime = slow->m_delay;
     stream.m_sequence = m_engine.submit(std::move(*generation), m_clock.now());
-    if (!awaitSlot(stream.m_sequence, responder)) {
+    if (!waitForSlot(stream.m_sequence, responder)) {
         m_engine.cancel(stream.m_sequence, m_clock.now());
         m_slotFreed.notify_all();
         return;
@@ -137,7 +137,7 @@
     else if (streamed)
         this->stream(stream, responder);
     else
-        answerWhole(stream, responder);
+        sendCompleteAnswer(stream, responder);
     m_slotFreed.notify_all();
     if (m_lifetime.state() == LifeState::Silent)
         m_lifetime.waitUntilGone(responder);
@@ -163,7 +163,7 @@
     return false;
 }
 
-bool EngineServer::awaitSlot(SequenceId id, HttpResponder &responder)
+bool EngineServer::waitForSlot(SequenceId id, HttpResponder &responder)
 {
     responder.onCallerGone([this] { m_slotFreed.notify_all(); });
     std::unique_lock lock(m_mutex);
@@ -180,7 +180,8 @@
     TimePoint due = m_clock.now();
     while (whole) {
         due += m_engine.tokenTime() + stream.m_extraTokenTime;
-        whole = !strikeStream(stream, responder) && m_lifetime.wait(due - m_clock.now(), responder);
+        whole = !applyStreamFault(stream, responder)
+                && m_lifetime.wait(due - m_clock.now(), responder);
         if (!whole)
             break;
         const auto token = m_engine.generate(stream.m_sequence);
@@ -225,7 +226,7 @@
     return responder.write(text);
 }
 
-void EngineServer::answerWhole(Stream &stream, HttpResponder &responder)
+void EngineServer::sendCompleteAnswer(Stream &stream, HttpResponder &responder)
 {
     std::string content;
     TimePoint due = m_clock.now();
@@ -252,7 +253,7 @@
     responder.send(reply);
 }
 
-bool EngineServer::strikeStream(const Stream &stream, HttpResponder &responder)
+bool EngineServer::applyStreamFault(const Stream &stream, HttpResponder &responder)
 {
     const auto strikes = [&](const std::optional<Fault> &fault) {
         return fault && stream.m_sent >= fault->m_afterTokens;
@@ -268,7 +269,7 @@
     return strikes(stream.m_cut);
 }
 
-HttpReply EngineServer::answerSmallCall(const HttpRequest &request)
+HttpReply EngineServer::answerAuxiliaryCall(const HttpRequest &request)
 {
     const std::string_view path = request.path();
     if (path == "/load")
--- a/standins/engine_server.hpp
+++ b/standins/engine_server.hpp
@@ -13,7 +13,7 @@
 
 namespace gypsumdale::standins {
 
-/// Speaks the model engine's HTTP interface for an Engine. All calls run on one loop.
+/// Serves the HTTP interface of a model engine on an Engine. All calls run on one loop.
 class EngineServer
 {
 public:
@@ -29,12 +29,12 @@
 
     void complete(const HttpRequest &request, HttpResponder &responder);
     bool passesFaults(const std::string &line, HttpResponder &responder);
-    bool awaitSlot(SequenceId id, HttpResponder &responder);
+    bool waitForSlot(SequenceId id, HttpResponder &responder);
     void stream(Stream &stream, HttpResponder &responder);
     bool writeToken(Stream &stream, const Token &token, HttpResponder &responder);
-    void answerWhole(Stream &stream, HttpResponder &responder);
-    bool strikeStream(const Stream &stream, HttpResponder &responder);
-    HttpReply answerSmallCall(const HttpRequest &request);
+    void sendCompleteAnswer(Stream &stream, HttpResponder &responder);
+    bool applyStreamFault(const Stream &stream, HttpResponder &responder);
+    HttpReply answerAuxiliaryCall(const HttpRequest &request);
     HttpReply answerLoad(const std::string &line);
     HttpReply answerSession(const HttpRequest &request);
     HttpReply answerOrder(const HttpRequest &request);
--- a/standins/fault_plan.hpp
+++ b/standins/fault_plan.hpp
@@ -13,7 +13,7 @@
 
 namespace gypsumdale::standins {
 
-/// What can go wrong on request. docs/STANDINS.md says which role knows which.
+/// Faults that a stand-in can inject. docs/STANDINS.md lists the faults of each role.
 enum class FaultKind {
     RefuseConnections,
     NotRun,
@@ -56,45 +56,45 @@
         {FaultKind::RefuseRental, "refuse-rental"},
 }};
 
-/// One fault to cause: how often, to which requests and how strongly.
+/// One fault to inject: how often, into which requests, and its parameters.
 struct Fault
 {
     FaultKind m_kind = FaultKind::NotRun;
-    /// Requests still to be struck; absent, until cleared.
+    /// Number of requests that the fault still affects; if absent, it stays until cleared.
     std::optional<int> m_count;
-    /// Strikes only requests whose "METHOD TARGET" contains this text.
+    /// Limits the fault to requests whose "METHOD TARGET" contains this text.
     std::string m_match;
-    /// Tokens of a stream that pass before the fault.
+    /// Tokens of a stream that are sent before the fault.
     int m_afterTokens = 0;
-    /// Added time, or how long the fault lasts, by kind.
+    /// Added delay or duration of the fault, depending on the kind.
     Duration m_delay = {};
 };
 
-/// The faults that a stand-in has been told to cause.
+/// Faults that a stand-in injects, in the order in which they were added.
 class FaultPlan
 {
 public:
-    /// Adds a fault behind the others. Constant.
+    /// Appends a fault. Complexity: constant.
     void add(Fault fault);
 
-    /// Removes the faults of one kind, or all of them. Linear.
+    /// Removes the faults of one kind, or all faults. Complexity: linear in the number of faults.
     void clear(std::optional<FaultKind> kind = std::nullopt);
 
-    /// Returns the first fault of the kind that strikes the request ("METHOD TARGET") and counts it
-    /// as spent once. Linear.
+    /// Returns the first fault of the kind that matches the request ("METHOD TARGET") and consumes
+    /// one use of it. Complexity: linear in the number of faults.
     std::optional<Fault> take(FaultKind kind, std::string_view request);
 
-    /// Describes the faults that are left. Linear.
+    /// Describes the remaining faults. Complexity: linear in the number of faults.
     Json describe() const;
 
 private:
     std::vector<Fault> m_faults;
 };
 
-/// Reads a fault from the body of POST /admin/faults. Fails with RequestMalformed.
+/// Parses the body of POST /admin/faults. Fails with RequestMalformed.
 Result<Fault> readFault(const Json &json);
 
-/// Answers GET, POST and DELETE on /admin/faults. Linear in the faults.
+/// Answers GET, POST and DELETE on /admin/faults. Complexity: linear in the number of faults.
 HttpReply answerFaultCall(FaultPlan &plan, const HttpRequest &request);
 
 } // namespace gypsumdale::standins
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -65,7 +65,7 @@
 
 Result<Done> Fleet::openInstances()
 {
-    // Clouds come last, when the ports of what they list are known.
+    // Clouds are opened last, when the ports of the instances that they list are known.
     for (const bool clouds : {false, true}) {
         if (clouds)
             listInCloud();
@@ -98,7 +98,7 @@
 
 Result<Endpoint> Fleet::add(InstanceSettings settings)
 {
-    // A cloud starts instances, so it runs on the loop that owns their map.
+    // A cloud adds instances, so it runs on the first loop, which owns the map of instances.
     const bool isCloud = std::holds_alternative<CloudSettings>(settings.m_role);
     FiberLoop &loop = isCloud ? *m_loops.front() : *m_loops[m_nextLoop++ % m_loops.size()];
     const std::string name = settings.m_name;
--- a/standins/fleet.hpp
+++ b/standins/fleet.hpp
@@ -14,24 +14,25 @@
 
 namespace gypsumdale::standins {
 
-/// All stand-ins of one process and the control calls that reach them even when they refuse
-/// connections. The map of instances belongs to the first loop.
+/// All stand-ins of one process and their control calls, which work even while a stand-in refuses
+/// connections. The map of instances is accessed on the first loop only.
 class Fleet
 {
 public:
     explicit Fleet(FleetSettings settings);
     ~Fleet();
 
-    /// Starts the loops, opens all sockets and then the control socket. Fails with AddressInUse.
+    /// Starts the loops, opens the sockets of all instances and then the control socket. Fails with
+    /// AddressInUse.
     Result<Done> start();
 
-    /// Stops all loops. Answers under way are cut.
+    /// Stops all loops. Unfinished answers are cut off.
     void stop();
 
-    /// Returns where the control calls are answered; the address is empty if nowhere.
+    /// Returns the address of the control socket; empty if there is none.
     const Endpoint &control() const { return m_control; }
 
-    /// Describes the instances, one "instance NAME ROLE ADDRESS:PORT" each.
+    /// Returns one line "instance NAME ROLE ADDRESS:PORT" for each instance.
     std::vector<std::string> describe();
 
 private:
--- a/standins/instance.cpp
+++ b/standins/instance.cpp
@@ -47,30 +47,30 @@
 void Instance::handle(const HttpRequest &request, HttpResponder &responder)
 {
     if (request.path() == "/admin/die" && request.m_method == "POST") {
-        responder.send(answerDeath(request));
+        responder.send(answerDieCall(request));
         return;
     }
-    // Held here, because a restart replaces the role while old answers are under way.
+    // Keeps the server alive: a restart replaces m_role while old answers are still being sent.
     const std::shared_ptr<Server> role = m_role;
     std::visit([&](auto &server) { server.handle(request, responder); }, *role);
-    refuseWhenAsked();
+    applyRefuseConnections();
 }
 
 void Instance::die(LifeState state)
 {
     std::visit([&](auto &server) { server.lifetime().set(state); }, *m_role);
-    // A VM that vanished closes nothing: its socket stays open and nobody answers.
+    // A vanished VM closes no connection: its socket stays open and nothing answers.
     if (state == LifeState::Silent)
         return;
     closeSocket();
-    m_closed.clear();
+    m_closedServers.clear();
 }
 
 Result<Done> Instance::restart()
 {
     closeSocket();
-    const bool remembers = role() == Role::Platform || role() == Role::Cloud;
-    if (remembers) {
+    const bool keepsState = role() == Role::Platform || role() == Role::Cloud;
+    if (keepsState) {
         std::visit([](auto &server) { server.lifetime().set(LifeState::Alive); }, *m_role);
         return open();
     }
@@ -108,7 +108,7 @@
             m_settings.m_role);
 }
 
-HttpReply Instance::answerDeath(const HttpRequest &request)
+HttpReply Instance::answerDieCall(const HttpRequest &request)
 {
     const Json body = parseJson(request.m_body);
     const std::string mode = body.is_object() ? textField(body, "mode", "stop") : "stop";
@@ -120,7 +120,7 @@
     return jsonReply(200, Json::object());
 }
 
-void Instance::refuseWhenAsked()
+void Instance::applyRefuseConnections()
 {
     const auto fault = std::visit(
             [](auto &server) { return server.faults().take(FaultKind::RefuseConnections, ""); },
@@ -142,7 +142,7 @@
     if (!m_server)
         return;
     m_server->stopAccepting();
-    m_closed.push_back(std::move(m_server));
+    m_closedServers.push_back(std::move(m_server));
 }
 
 } // namespace gypsumdale::standins
--- a/standins/instance.hpp
+++ b/standins/instance.hpp
@@ -14,8 +14,8 @@
 
 namespace gypsumdale::standins {
 
-/// One stand-in with its socket: it listens, dies, refuses connections and starts again. But for
-/// the constructor, all calls are made on its loop.
+/// One stand-in with its socket. It can listen, stop serving, refuse connections and restart. All
+/// calls except the constructor are made on its loop.
 class Instance
 {
 public:
@@ -24,18 +24,18 @@
     /// Opens the socket. Fails with AddressInUse.
     Result<Done> open();
 
-    /// Answers one call, whichever way it came.
+    /// Answers one call that arrived on the own socket or on the control socket.
     void handle(const HttpRequest &request, HttpResponder &responder);
 
-    /// Stops serving, as a killed process (Stopped, all connections close) or a vanished VM
-    /// (Silent, none does) would.
+    /// Stops serving like a killed process (Stopped: all connections close) or like a vanished VM
+    /// (Silent: connections stay open).
     void die(LifeState state);
 
-    /// Starts anew on the same port with an empty memory and the next incarnation; what a platform
-    /// or cloud holds stays, for their processes are not what fails.
+    /// Restarts on the same port with empty state and the next incarnation. A platform or cloud
+    /// keeps its state, because the tests do not simulate failures of their processes.
     Result<Done> restart();
 
-    /// Sets what a cloud's rentals start; does nothing for other roles.
+    /// Sets the function that starts rented VMs of a cloud; does nothing for other roles.
     void setStarter(VmStarter starter);
 
     const InstanceSettings &settings() const { return m_settings; }
@@ -48,8 +48,8 @@
     using Server = std::variant<EngineServer, ServiceServer, PlatformServer, CloudServer>;
 
     std::shared_ptr<Server> makeServer() const;
-    HttpReply answerDeath(const HttpRequest &request);
-    void refuseWhenAsked();
+    HttpReply answerDieCall(const HttpRequest &request);
+    void applyRefuseConnections();
     void closeSocket();
 
     InstanceSettings m_settings;
@@ -57,8 +57,8 @@
     FiberLoop &m_loop;
     std::shared_ptr<Server> m_role;
     std::unique_ptr<HttpServer> m_server;
-    /// Sockets that no longer accept but whose open connections may still be answered.
-    std::vector<std::unique_ptr<HttpServer>> m_closed;
+    /// Servers that no longer accept connections but may still answer on open ones.
+    std::vector<std::unique_ptr<HttpServer>> m_closedServers;
 };
 
 } // namespace gypsumdale::standins
--- a/standins/instance_settings.cpp
+++ b/standins/instance_settings.cpp
@@ -13,7 +13,7 @@
 constexpr int maxInstances = 4096;
 constexpr int maxLoops = 12;
 
-/// Reads the fields of one object and remembers which, so that a misspelt one is found.
+/// Reads the fields of a JSON object and records their names, so that unknown fields are reported.
 class FieldReader
 {
 public:
--- a/standins/instance_settings.hpp
+++ b/standins/instance_settings.hpp
@@ -16,7 +16,7 @@
 
 namespace gypsumdale::standins {
 
-/// What a stand-in plays.
+/// The system that a stand-in simulates.
 enum class Role { Engine, Service, Platform, Cloud };
 
 inline constexpr NameTable<Role, 4> roleNames = {{
@@ -26,33 +26,34 @@
         {Role::Cloud, "cloud"},
 }};
 
-/// The settings of one role; the alternative says which.
+/// Settings of one role; the variant's alternative is the role.
 using RoleSettings = std::variant<EngineSettings, ServiceSettings, PlatformSettings, CloudSettings>;
 
-/// One stand-in: where it listens, what it plays and which VM it is to the cloud.
+/// Settings of one stand-in: its address, its role and its VM in the cloud.
 struct InstanceSettings
 {
     std::string m_name;
     Endpoint m_listen;
     RoleSettings m_role;
-    /// The VM that the fleet's cloud lists for it; without a zone it lists none.
+    /// The VM that the fleet's cloud lists for this stand-in; not listed if the zone is empty.
     Vm m_vm;
 };
 
-/// Stand-ins that share a process.
+/// Settings of the stand-ins that share a process.
 struct FleetSettings
 {
-    /// Where the control calls are answered; with an empty address, nowhere.
+    /// Address of the control socket; an empty address opens none.
     Endpoint m_control;
     int m_loops = 1;
     std::vector<InstanceSettings> m_instances;
 };
 
-/// Reads one entry of "instances", which its "count" may multiply: the names then get -1, -2 and so
-/// on, and ports other than 0 count up. Fails with the key or value that is wrong.
+/// Reads one entry of "instances". A "count" above 1 makes that many copies, with names that end
+/// with -1, -2 and so on, and with consecutive ports unless the port is 0. The error names the
+/// wrong key or value.
 Result<std::vector<InstanceSettings>> readInstances(const Json &json);
 
-/// Reads a fleet's configuration. Fails with the first wrong key or value.
+/// Reads a fleet's configuration. The error names the first wrong key or value.
 Result<FleetSettings> readFleet(const Json &json);
 
 /// Reads "ADDRESS:PORT". Fails with SettingsOutOfRange.
--- a/standins/json_fields.hpp
+++ b/standins/json_fields.hpp
@@ -15,7 +15,8 @@
 
 using Json = nlohmann::json;
 
-/// Parses a text; an empty one becomes an empty object, a malformed one a discarded value. Linear.
+/// Parses JSON; returns an empty object for an empty text and a discarded value for a malformed
+/// one. Complexity: linear in the length of the text.
 inline Json parseJson(std::string_view text)
 {
     if (text.empty())
@@ -23,7 +24,8 @@
     return Json::parse(text, nullptr, false);
 }
 
-/// Returns a field, or the fallback if it is absent or of another type. Logarithmic.
+/// Returns a text field, or the fallback if it is absent or of another type.
+/// Complexity: logarithmic in the number of fields.
 inline std::string textField(const Json &json, const char *name, std::string fallback = {})
 {
     const auto found = json.find(name);
@@ -56,13 +58,14 @@
     return found->get<bool>();
 }
 
-/// Turns fractional milliseconds, as options and JSON carry them, into a duration. Constant.
+/// Converts fractional milliseconds from options or JSON to a duration. Complexity: constant.
 inline Duration fromMillis(double millis)
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(millis));
 }
 
-/// Makes an answer with a JSON body. Bytes that are no UTF-8 are replaced. Linear.
+/// Returns an answer with a JSON body. Invalid UTF-8 is replaced.
+/// Complexity: linear in the size of the body.
 inline HttpReply jsonReply(int status, const Json &body)
 {
     HttpReply reply;
@@ -72,7 +75,8 @@
     return reply;
 }
 
-/// Makes an answer that only says what was wrong. Linear.
+/// Returns an answer whose JSON body holds only an error message.
+/// Complexity: linear in the length of the message.
 inline HttpReply errorReply(int status, std::string message)
 {
     return jsonReply(status, Json{{"error", {{"message", std::move(message)}}}});
--- a/standins/lifetime.cpp
+++ b/standins/lifetime.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration step = std::chrono::milliseconds(50);
+constexpr Duration waitStep = std::chrono::milliseconds(50);
 constexpr Duration longestHang = std::chrono::minutes(10);
 
 } // namespace
@@ -16,7 +16,7 @@
     while (duration > Duration::zero()) {
         if (!isAlive() || responder.callerGone())
             return false;
-        const Duration part = std::min(duration, step);
+        const Duration part = std::min(duration, waitStep);
         sleepFiber(part);
         duration -= part;
     }
@@ -29,8 +29,8 @@
     while (left > Duration::zero()) {
         if (state() == LifeState::Stopped || responder.callerGone())
             return;
-        sleepFiber(step);
-        left -= step;
+        sleepFiber(waitStep);
+        left -= waitStep;
     }
 }
 
--- a/standins/lifetime.hpp
+++ b/standins/lifetime.hpp
@@ -6,16 +6,16 @@
 
 namespace gypsumdale::standins {
 
-/// How a stand-in that was told to die behaves from then on.
+/// Whether a stand-in serves, and how its connections behave if not.
 enum class LifeState {
     Alive,
-    /// Connections are closed without a further byte, as when a process is killed.
+    /// Connections are closed without sending another byte, as when a process is killed.
     Stopped,
-    /// Connections stay open and nothing comes any more, as when a VM vanishes.
+    /// Connections stay open and nothing more is sent, as when a VM vanishes.
     Silent,
 };
 
-/// Whether a stand-in is alive; read by each of its fibers between two steps.
+/// Life state of a stand-in. Its fibers check the state between two steps of their work.
 class Lifetime
 {
 public:
@@ -23,12 +23,12 @@
     bool isAlive() const { return state() == LifeState::Alive; }
     void set(LifeState state) { m_state.store(state); }
 
-    /// Suspends the fiber for a time, in steps, and returns early when the caller has gone or the
-    /// stand-in has died. Returns whether to go on.
+    /// Suspends the fiber for a time, in short steps. Returns early with false if the caller closed
+    /// its connection or the stand-in is no longer alive, else true.
     bool wait(Duration duration, const HttpResponder &responder) const;
 
-    /// Suspends the fiber until the caller has gone or the stand-in was stopped, for at most ten
-    /// minutes. This is what a caller of a silent connection meets.
+    /// Suspends the fiber until the caller closes its connection or the stand-in is stopped, for at
+    /// most ten minutes. Simulates a connection on which nothing is sent.
     void waitUntilGone(const HttpResponder &responder) const;
 
 private:
--- a/standins/object_store.cpp
+++ b/standins/object_store.cpp
@@ -54,7 +54,7 @@
         return ConditionFailed{current->m_version};
     m_objects.erase({kind, name});
     ++m_version;
-    note({kind, name, m_version, true, nullptr});
+    appendEvent({kind, name, m_version, true, nullptr});
     return Written{m_version};
 }
 
@@ -72,7 +72,7 @@
 
 WatchOutcome ObjectStore::changes(const std::string &kind, Version after) const
 {
-    if (after < m_forgotten)
+    if (after < m_lastDroppedVersion)
         return VersionTooOld{};
     std::vector<ObjectEvent> result;
     auto event = std::upper_bound(
@@ -90,17 +90,17 @@
     const auto shared = std::make_shared<const std::string>(std::move(body));
     ++m_version;
     m_objects[key] = {m_version, shared};
-    note({key.first, key.second, m_version, false, shared});
+    appendEvent({key.first, key.second, m_version, false, shared});
     return {m_version};
 }
 
-void ObjectStore::note(ObjectEvent event)
+void ObjectStore::appendEvent(ObjectEvent event)
 {
     m_eventBytes += bytesOf(event);
     m_events.push_back(std::move(event));
     while (m_events.size() > m_limits.m_events || m_eventBytes > m_limits.m_eventBytes) {
         m_eventBytes -= bytesOf(m_events.front());
-        m_forgotten = m_events.front().m_version;
+        m_lastDroppedVersion = m_events.front().m_version;
         m_events.pop_front();
     }
 }
--- a/standins/object_store.hpp
+++ b/standins/object_store.hpp
@@ -15,24 +15,24 @@
 
 using Version = std::uint64_t;
 
-/// A body is shared between the object and the events that tell of it.
+/// Body of an object, shared by the object and the events that report it.
 using Body = std::shared_ptr<const std::string>;
 
-/// An object as the store holds it.
+/// Version and body of an object in the store.
 struct StoredObject
 {
     Version m_version = 0;
     Body m_body;
 };
 
-/// An object and its name within its kind.
+/// An object with its name, which is unique within its kind.
 struct NamedObject
 {
     std::string m_name;
     StoredObject m_object;
 };
 
-/// One change, as a watch reports it. The body is null for a deletion.
+/// One change that a watch reports. The body is null for a deletion.
 struct ObjectEvent
 {
     std::string m_kind;
@@ -42,13 +42,13 @@
     Body m_body;
 };
 
-/// The write took effect and the object has this version (a deletion: the store has).
+/// The write took effect. Holds the object's new version, or the store's version for a deletion.
 struct Written
 {
     Version m_version = 0;
 };
 
-/// The condition did not hold; the object's present version, or nothing if there is no object.
+/// The condition did not hold. Holds the object's current version, or nothing if it doesn't exist.
 struct ConditionFailed
 {
     std::optional<Version> m_current;
@@ -62,13 +62,13 @@
 
 using WriteOutcome = std::variant<Written, ConditionFailed, ObjectMissing, BodyTooLarge>;
 
-/// The watch reaches back further than the store remembers.
+/// The watch starts before the oldest change that the store retains.
 struct VersionTooOld
 {};
 
 using WatchOutcome = std::variant<std::vector<ObjectEvent>, VersionTooOld>;
 
-/// Bounds of a store.
+/// Size limits of a store.
 struct StoreLimits
 {
     std::size_t m_bodyBytes = std::size_t{1024} * 1024;
@@ -76,8 +76,8 @@
     std::size_t m_eventBytes = std::size_t{64} * 1024 * 1024;
 };
 
-/// The platform's objects: one version counter for all of them, conditional writes, and a bounded
-/// memory of changes for watches.
+/// The platform's object store: conditional writes, one version counter for all objects, and a
+/// bounded history of changes for watches.
 class ObjectStore
 {
 public:
@@ -85,24 +85,27 @@
         : m_limits(limits)
     {}
 
-    /// Returns an object, or nothing. Logarithmic.
+    /// Returns an object, or nothing if it doesn't exist. Complexity: logarithmic.
     std::optional<StoredObject> read(const std::string &kind, const std::string &name) const;
 
-    /// Creates an object unless it exists. Logarithmic.
+    /// Creates an object unless it exists. Complexity: logarithmic.
     WriteOutcome create(const std::string &kind, const std::string &name, std::string body);
 
-    /// Replaces an object if it still has that version. Logarithmic.
+    /// Replaces an object if it still has the expected version. Complexity: logarithmic.
     WriteOutcome update(const std::string &kind, const std::string &name, Version expected,
                         std::string body);
 
-    /// Deletes an object, if it still has the version where one is given. Logarithmic.
+    /// Deletes an object; if a version is given, only if the object still has it.
+    /// Complexity: logarithmic.
     WriteOutcome remove(const std::string &kind, const std::string &name,
                         std::optional<Version> expected);
 
-    /// Returns the objects of a kind whose names begin with the prefix, in order. Linear in them.
+    /// Returns the objects of a kind whose names begin with the prefix, sorted by name.
+    /// Complexity: linear in their number.
     std::vector<NamedObject> list(const std::string &kind, const std::string &prefix) const;
 
-    /// Returns the changes of a kind after a version, oldest first. Linear in those after it.
+    /// Returns the changes of a kind after a version, oldest first.
+    /// Complexity: linear in the number of changes of all kinds after the version.
     WatchOutcome changes(const std::string &kind, Version after) const;
 
     Version version() const { return m_version; }
@@ -111,11 +114,11 @@
     using Key = std::pair<std::string, std::string>;
 
     Written write(const Key &key, std::string body);
-    void note(ObjectEvent event);
+    void appendEvent(ObjectEvent event);
 
     StoreLimits m_limits;
     Version m_version = 0;
-    Version m_forgotten = 0; ///< the last change that is no longer remembered
+    Version m_lastDroppedVersion = 0; ///< version of the latest change dropped from the history
     std::size_t m_eventBytes = 0;
     std::map<Key, StoredObject> m_objects;
     std::deque<ObjectEvent> m_events;
--- a/standins/platform_server.cpp
+++ b/standins/platform_server.cpp
@@ -86,7 +86,7 @@
 
 } // namespace
 
-/// Which object or kind a call is about.
+/// The kind, the object and the type of a call.
 struct PlatformServer::Target
 {
     bool m_isWatch = false;
@@ -180,7 +180,7 @@
     }
     const HttpReply reply =
             target.m_isWatch ? watch(request, target, responder) : perform(request, target);
-    // An outage that began while a watch waited must not let the watch's answer through.
+    // Checks again after the wait: an outage that began meanwhile also drops the watch's answer.
     if (target.m_isWatch && !passesFaults(line, responder))
         return;
     if (m_faults.take(FaultKind::HangAfter, line) || m_lifetime.state() == LifeState::Silent) {
--- a/standins/platform_server.hpp
+++ b/standins/platform_server.hpp
@@ -16,7 +16,7 @@
 
 namespace gypsumdale::standins {
 
-/// How the platform's object API behaves.
+/// Settings of the platform stand-in.
 struct PlatformSettings
 {
     double m_writesPerSecond = 400;
@@ -25,7 +25,7 @@
     StoreLimits m_limits;
 };
 
-/// Speaks the object API of docs/PLATFORM.md for an ObjectStore. All calls run on one loop.
+/// Serves the object API of docs/PLATFORM.md on an ObjectStore. All calls run on one loop.
 class PlatformServer
 {
 public:
@@ -56,7 +56,7 @@
     RateLimiter m_reads;
     FaultPlan m_faults;
     Lifetime m_lifetime;
-    std::map<std::string, std::uint64_t> m_calls; ///< by "CALL KIND"
+    std::map<std::string, std::uint64_t> m_calls; ///< number of calls by "CALL KIND"
     std::uint64_t m_writeCount = 0;
     std::uint64_t m_readCount = 0;
     std::uint64_t m_limitedCount = 0;
--- a/standins/prefix_cache.hpp
+++ b/standins/prefix_cache.hpp
@@ -10,24 +10,26 @@
 
 namespace gypsumdale::standins {
 
-/// Words in a block of the prefix cache; only whole blocks are cached.
+/// Number of words in a block of the prefix cache; only full blocks are cached.
 inline constexpr int blockWords = 16;
 
-/// Splits a text into its words, which stand in for tokens. Linear.
+/// Splits a text into words, which the engine stand-in uses as tokens.
+/// Complexity: linear in the length of the text.
 std::vector<std::string_view> splitWords(std::string_view text);
 
-/// Returns one hash for each whole block of a text: xxh64 of its words joined by single spaces,
-/// seeded with the hash of the block before it (0 for the first). Linear.
+/// Returns one hash for each full block of words: xxh64 of the words joined by single spaces,
+/// seeded with the hash of the previous block (0 for the first). Complexity: linear in the length
+/// of the words.
 std::vector<std::uint64_t> blockHashes(const std::vector<std::string_view> &words);
 
-/// A block that entered or left the cache.
+/// A block that was stored in the cache or evicted from it.
 struct CacheChange
 {
     std::uint64_t m_block = 0;
     bool m_stored = true;
 };
 
-/// The blocks of prompts that an engine still holds; the least recently used go first.
+/// Prompt blocks that an engine holds, with eviction of the least recently used.
 class PrefixCache
 {
 public:
@@ -35,21 +37,22 @@
         : m_maxBlocks(maxBlocks)
     {}
 
-    /// Returns how many leading blocks are held and marks them as used. Linear in them.
+    /// Returns the number of leading blocks in the cache and marks them as used.
+    /// Complexity: linear in the returned number.
     std::size_t match(const std::vector<std::uint64_t> &blocks);
 
-    /// Stores blocks and evicts the least recently used beyond the limit; returns what changed.
-    /// Linear in the blocks.
+    /// Stores blocks and evicts the least recently used ones beyond the limit; returns the changes.
+    /// Complexity: linear in the number of blocks.
     std::vector<CacheChange> store(const std::vector<std::uint64_t> &blocks);
 
-    /// Forgets everything, as a restart does. Linear.
+    /// Removes all blocks, as a restart does. Complexity: linear in the number of blocks.
     void clear();
 
     std::size_t size() const { return m_entries.size(); }
 
 private:
     std::size_t m_maxBlocks;
-    std::list<std::uint64_t> m_recent; ///< the most recently used first
+    std::list<std::uint64_t> m_recent; ///< most recently used block first
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_entries;
 };
 
--- a/standins/rate_limiter.hpp
+++ b/standins/rate_limiter.hpp
@@ -6,7 +6,7 @@
 
 namespace gypsumdale::standins {
 
-/// A token bucket that holds one second's worth of calls at most.
+/// A token bucket whose capacity is the number of calls of one second.
 class RateLimiter
 {
 public:
@@ -15,7 +15,7 @@
         , m_available(perSecond)
     {}
 
-    /// Takes one call from the bucket; returns false if it is empty. Constant.
+    /// Takes one call from the bucket; returns false if the bucket is empty. Complexity: constant.
     bool take(TimePoint now)
     {
         const std::chrono::duration<double> passed = now - m_filledAt;
--- a/standins/run_log.hpp
+++ b/standins/run_log.hpp
@@ -8,7 +8,7 @@
 
 namespace gypsumdale::standins {
 
-/// How often a call has run by now, counted the two ways a test asks for.
+/// Number of runs so far: of all calls, of one attempt and of one business key.
 struct RunCount
 {
     std::uint64_t m_total = 0;
@@ -16,21 +16,23 @@
     std::uint64_t m_ofKey = 0;
 };
 
-/// What a plain service has run. A business key names what the caller wanted done once, such as one
-/// reservation; more than one run of it is the failure that tests look for.
+/// Counts the runs of a plain service. A business key identifies an action that the caller wants
+/// done once, such as one reservation; tests look for keys with more than one run, which is a
+/// failure.
 class RunLog
 {
 public:
-    /// Counts one run. Logarithmic.
+    /// Counts one run and returns the new counts. Complexity: logarithmic.
     RunCount record(const std::string &attempt, const std::string &path, const std::string &key);
 
-    /// Describes all runs, or those of one business key. Linear.
+    /// Describes the counts of all runs, or of one business key.
+    /// Complexity: linear in the number of attempts and keys.
     Json describe(const std::string &key = {}) const;
 
 private:
     std::uint64_t m_total = 0;
     std::map<std::string, std::uint64_t> m_attempts;
-    std::map<std::string, std::uint64_t> m_keys; ///< by "PATH KEY"
+    std::map<std::string, std::uint64_t> m_keys; ///< number of runs by "PATH KEY"
 };
 
 } // namespace gypsumdale::standins
--- a/standins/service_server.hpp
+++ b/standins/service_server.hpp
@@ -11,7 +11,7 @@
 
 namespace gypsumdale::standins {
 
-/// How a plain service behaves.
+/// Settings of a plain service stand-in.
 struct ServiceSettings
 {
     std::string m_name = "trade-app";
@@ -20,8 +20,8 @@
     std::int64_t m_incarnation = 1;
 };
 
-/// A plain service: any method and path runs once and answers with its run number. All calls run on
-/// one loop.
+/// A plain service: a call with any method and path runs once and returns its run count. All calls
+/// run on one loop.
 class ServiceServer
 {
 public:
