--- a/bench/capacity/fleet_costs.cpp
+++ b/bench/capacity/fleet_costs.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The costs of a mesh at several sizes.
+/// Costs of a mesh, measured at several sizes.
 class MeshSeries
 {
 public:
@@ -70,7 +70,8 @@
 
 void measureRunners()
 {
-    // Six nodes: the same share of the data centre's probes at each size would hide the slope.
+    // Six nodes: with an equal share of the data centre's probes at each size, the slope would not
+    // show.
     MeshSeries few("runner at 6 nodes");
     for (const int runners : {9, 90, 300})
         few.measure({6, runners, 5}, runners);
--- a/bench/capacity/measure.hpp
+++ b/bench/capacity/measure.hpp
@@ -8,11 +8,11 @@
 
 namespace gypsumdale::bench {
 
-/// Bytes that the program holds from operator new, as the counting one of this program has them,
-/// without the allocator's own overhead.
+/// Returns the bytes allocated with operator new and not freed, as counted by this program's
+/// replacement of operator new, without the allocator's overhead.
 std::int64_t heldBytes();
 
-/// Counts the processor time of this thread, so that other programs on the machine do not count.
+/// Measures the processor time of this thread, which excludes other programs on the machine.
 class Stopwatch
 {
 public:
@@ -42,8 +42,8 @@
 
     void add(double size, double value) { m_points.push_back({size, value}); }
 
-    /// Prints the points, the line of least squares through them and the largest residual, in
-    /// percent of the largest value.
+    /// Prints the points, their least-squares line and the largest residual in percent of the
+    /// largest value.
     void print() const;
 
 private:
--- a/bench/capacity/mesh.cpp
+++ b/bench/capacity/mesh.cpp
@@ -34,7 +34,7 @@
         listed.push_back({runner, false});
     }
     for (std::size_t number = 0; number < m_nodes.size(); ++number)
-        take(number, m_nodes[number].m_exchange->onVmList({}, listed, m_now, wall()));
+        handleCommands(number, m_nodes[number].m_exchange->onVmList({}, listed, m_now, wall()));
 }
 
 void Mesh::addNode(int number)
@@ -89,7 +89,7 @@
         if (m_now.time_since_epoch() % std::chrono::seconds(1) == Duration::zero())
             serveMembers();
         for (std::size_t number = 0; number < m_nodes.size(); ++number)
-            take(number, m_nodes[number].m_exchange->tick(m_now, wall()));
+            handleCommands(number, m_nodes[number].m_exchange->tick(m_now, wall()));
         deliver();
     }
 }
@@ -105,7 +105,7 @@
     }
 }
 
-void Mesh::take(std::size_t from, ExchangeCommands &&commands)
+void Mesh::handleCommands(std::size_t from, ExchangeCommands &&commands)
 {
     for (ExchangeCommand &command : commands) {
         if (auto *sending = std::get_if<SendToPeer>(&command)) {
@@ -114,7 +114,7 @@
             ++m_probes;
             const int running = static_cast<int>(m_random(slotsPerRunner));
             const UpstreamLoad load{1, slotsPerRunner, running, 0, 40000};
-            take(from, m_nodes[from].m_exchange->onLoad(probe->m_upstream, load, m_now));
+            handleCommands(from, m_nodes[from].m_exchange->onLoad(probe->m_upstream, load, m_now));
         }
     }
 }
@@ -148,14 +148,15 @@
     ++m_heartbeats;
     sender.m_exchange->recordHeartbeatBytes(frame.size());
     auto answered = receiver.onHeartbeat(received.body.heartbeat, m_now, wall());
-    take(to, std::move(answered.m_commands));
+    handleCommands(to, std::move(answered.m_commands));
     wire::PeerReply reply;
     reply.sender = m_nodes[to].m_identity.m_node.text();
     reply.body = answered.m_reply;
     const std::string answer = wire::encodeReply(reply);
     m_bytes += answer.size();
     const auto decoded = valueOf(wire::decodeReply(answer));
-    take(sending.m_from, sender.m_exchange->onReply(decoded.body.heartbeat, m_now, wall()));
+    handleCommands(sending.m_from,
+                   sender.m_exchange->onReply(decoded.body.heartbeat, m_now, wall()));
 }
 
 } // namespace gypsumdale::bench
--- a/bench/capacity/mesh.hpp
+++ b/bench/capacity/mesh.hpp
@@ -20,7 +20,7 @@
     int m_members = 0;
 };
 
-/// What a node spent for a second of its own clock.
+/// Cost of one node per second of its own clock.
 struct MeshCost
 {
     double m_microseconds = 0;
@@ -30,15 +30,15 @@
     double m_memory = 0;
 };
 
-/// All nodes of a data centre in one process. Each message is encoded and decoded, none is delayed
-/// or lost. Every probe finds another load, and every member's tokens grow on every node each
-/// second.
+/// All nodes of a data centre in one process. Each message is encoded and decoded; none is delayed
+/// or lost. Each probe reports a different load, and the tokens of each member grow on every node
+/// each second.
 class Mesh
 {
 public:
     explicit Mesh(MeshSize size);
 
-    /// Lets the mesh settle, then runs it and returns the cost of the mean node.
+    /// Runs the mesh until it is stable, then measures it and returns the mean cost of a node.
     MeshCost measure();
 
 private:
@@ -56,7 +56,7 @@
     void addNode(int number);
     void run(Duration duration);
     void serveMembers();
-    void take(std::size_t from, ExchangeCommands &&commands);
+    void handleCommands(std::size_t from, ExchangeCommands &&commands);
     void deliver();
     void deliverOne(const Sending &sending);
     WallMillis wall() const;
--- a/bench/capacity/request_costs.cpp
+++ b/bench/capacity/request_costs.cpp
@@ -17,7 +17,7 @@
 
 const TimePoint start = TimePoint() + std::chrono::seconds(1000);
 
-/// A platform that keeps the segments of all shards, and counts calls and bytes.
+/// A platform that stores the segments of all shards and counts calls and bytes.
 class CountingLog
 {
 public:
@@ -73,7 +73,7 @@
     std::map<ShardNumber, Segments> m_segments;
 };
 
-/// Claims, runs and finishes keyed requests on one node, each on its own; their memory stays.
+/// Claims, runs and finishes keyed requests on one node, one at a time; their memory is retained.
 class ClaimRun
 {
 public:
--- a/bench/checkpoint/main.cpp
+++ b/bench/checkpoint/main.cpp
@@ -9,10 +9,10 @@
 #include <string> // string
 #include <vector> // vector
 
-// Recomputed tokens against writes, for each checkpoint policy: one node's jobs run for some hours
-// of model time; its owner process is lost at random, a share of the losses announced in time for a
-// hand-over. The policies decide as they do in the daemon. A second table gives the processor time
-// of reading an engine's events.
+// Compares recomputed tokens with checkpoint writes for each checkpoint policy. The jobs of one
+// node run for some hours of model time; their owner process is lost at random times, and a share
+// of the losses is announced in time for a hand-over. The policies are those of the daemon. A
+// second table shows the processor time of reading an engine's events.
 
 namespace gypsumdale {
 namespace {
@@ -29,7 +29,7 @@
     int m_jobs = 0;
     std::int64_t m_answerTokens = 0;
     double m_tokensPerSecond = 0;
-    /// Cost of one token done again, with one checkpoint write costing 20.
+    /// Cost of one recomputed token, where one checkpoint write costs 20.
     double m_tokenCost = 0;
 };
 
@@ -56,8 +56,8 @@
 void restart(std::vector<Run> &runs, bool isAnnounced, bool fromScratch, Tally &tally)
 {
     for (Run &run : runs) {
-        // A hand-over takes along the answer to the last token; only a caller who is served without
-        // durability starts again.
+        // A hand-over transfers the answer up to the last token; only requests served without
+        // durability start again.
         const double kept = fromScratch ? 0 : isAnnounced ? run.m_done : run.m_saved;
         tally.m_recomputed += run.m_done - kept;
         run.m_done = kept;
--- a/bench/load/caller.cpp
+++ b/bench/load/caller.cpp
@@ -17,8 +17,8 @@
 constexpr int okStatus = 200;
 constexpr int firstErrorStatus = 400;
 
-/// Reads the rest of an answer; nothing if it was cut.
-std::optional<std::string> restOf(HttpExchange &exchange)
+/// Reads the rest of an answer; returns nothing if the answer was cut off.
+std::optional<std::string> readRest(HttpExchange &exchange)
 {
     std::string body;
     for (;;) {
@@ -65,7 +65,7 @@
     if (requestClass.m_path.empty() && exchange.status() == okStatus)
         readStream(exchange, arrival, scheduled, outcome);
     else
-        readWhole(exchange, outcome);
+        readCompleteAnswer(exchange, outcome);
     outcome.m_total = m_clock.now() - scheduled;
     return outcome;
 }
@@ -131,10 +131,10 @@
     outcome.m_error = check.verdict();
 }
 
-void Caller::readWhole(HttpExchange &exchange, Outcome &outcome)
+void Caller::readCompleteAnswer(HttpExchange &exchange, Outcome &outcome)
 {
     const int status = exchange.status();
-    const auto body = restOf(exchange);
+    const auto body = readRest(exchange);
     if (!body)
         outcome.m_error = errorName(ErrorId::AnswerTruncated);
     else if (status >= firstErrorStatus)
--- a/bench/load/caller.hpp
+++ b/bench/load/caller.hpp
@@ -10,19 +10,19 @@
 
 namespace gypsumdale::load {
 
-/// Whom to call and as whom.
+/// Targets, members and request classes of a caller.
 struct CallerSettings
 {
     std::vector<Endpoint> m_targets;
     std::vector<MemberKey> m_members;
     std::vector<RequestClass> m_classes;
-    /// Sent where a request says it may not repeat; makes keys of two runs differ.
+    /// Name of the run, part of the idempotency keys, so that the keys of two runs differ.
     std::string m_run;
     Duration m_timeout = std::chrono::seconds(60);
 };
 
-/// Sends one request and judges its answer. Runs in a fiber of the client's loop; the start is that
-/// of the run.
+/// Sends requests and checks their answers. Calls run in a fiber of the client's loop; `start` is
+/// the start of the run.
 class Caller
 {
 public:
@@ -34,7 +34,7 @@
     HttpCall prepare(const Arrival &arrival) const;
     void readStream(HttpExchange &exchange, const Arrival &arrival, TimePoint scheduled,
                     Outcome &outcome);
-    void readWhole(HttpExchange &exchange, Outcome &outcome);
+    void readCompleteAnswer(HttpExchange &exchange, Outcome &outcome);
 
     const CallerSettings &m_settings;
     HttpClient m_client;
--- a/bench/load/main.cpp
+++ b/bench/load/main.cpp
@@ -143,8 +143,8 @@
     return settings;
 }
 
-/// Sends all arrivals at their times, however late the answers are, and waits for the last one. In
-/// a fiber of the loop.
+/// Sends all requests at their scheduled times, independent of outstanding answers, and waits for
+/// the last answer. Runs in a fiber of the loop.
 void sendAll(const Settings &settings, FiberLoop &loop, Recorder &recorder)
 {
     const Clock clock;
--- a/bench/load/recorder.cpp
+++ b/bench/load/recorder.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Returns the smallest value that at least the share of all values does not exceed.
+/// Returns the smallest value such that at least the given share of all values is not above it.
 double quantileMillis(std::vector<Duration> values, double share)
 {
     if (values.empty())
@@ -49,7 +49,7 @@
         ++series.m_errors[outcome.m_error];
         return;
     }
-    ++series.m_whole;
+    ++series.m_complete;
     series.m_tokens += outcome.m_tokens;
     if (outcome.m_tokens > 0)
         series.m_firstToken.push_back(outcome.m_firstToken);
@@ -63,7 +63,7 @@
     for (const auto &[name, series] : m_series) {
         list.push_back({{"member", name.first},
                         {"class", name.second},
-                        {"whole", series.m_whole},
+                        {"whole", series.m_complete},
                         {"tokens", series.m_tokens},
                         {"errors", series.m_errors},
                         {"firstTokenMillis", quantiles(series.m_firstToken)},
--- a/bench/load/recorder.hpp
+++ b/bench/load/recorder.hpp
@@ -11,13 +11,13 @@
 
 namespace gypsumdale::load {
 
-/// What became of one request. Times count from its scheduled arrival, so that a system which
-/// stalls its callers is charged for those who had to wait.
+/// Result of one request. Times count from the scheduled arrival, not from sending, so that the
+/// time in which a stalled system keeps callers waiting is included.
 struct Outcome
 {
     std::string m_member;
     std::string m_class;
-    /// Empty if the answer was whole; else an error's name or "wrong-answer", "status-503" etc.
+    /// Empty for a complete answer, else the name of an error, "wrong-answer", "status-503" etc.
     std::string m_error;
     Duration m_firstToken = {};
     Duration m_total = {};
@@ -25,22 +25,22 @@
     std::size_t m_tokens = 0;
 };
 
-/// Collects outcomes by member and class. The run is bounded, so all times are kept.
+/// Collects outcomes by member and class. Keeps all times, since the length of a run is limited.
 class Recorder
 {
 public:
     void record(const Outcome &outcome);
 
-    /// Describes counts, errors and p50/p95/p99 in milliseconds. Sorts all times.
+    /// Returns counts, errors and p50/p95/p99 in milliseconds. Sorts all times.
     nlohmann::json describe() const;
 
-    /// Writes the same as a table for people.
+    /// Returns the same figures as a text table.
     std::string table() const;
 
 private:
     struct Series
     {
-        std::size_t m_whole = 0;
+        std::size_t m_complete = 0;
         std::size_t m_tokens = 0;
         std::map<std::string, std::size_t> m_errors;
         std::vector<Duration> m_firstToken;
--- a/bench/load/stream_check.cpp
+++ b/bench/load/stream_check.cpp
@@ -20,7 +20,7 @@
         const auto end = m_pending.find('\n', begin);
         if (end == std::string::npos)
             break;
-        if (takeLine(std::string_view(m_pending).substr(begin, end - begin)))
+        if (parseLine(std::string_view(m_pending).substr(begin, end - begin)))
             ++tokens;
         begin = end + 1;
     }
@@ -39,7 +39,7 @@
     return m_expected.starts_with(m_answer) ? "short-answer" : "wrong-answer";
 }
 
-bool StreamCheck::takeLine(std::string_view line)
+bool StreamCheck::parseLine(std::string_view line)
 {
     if (!line.starts_with(dataPrefix))
         return false;
--- a/bench/load/stream_check.hpp
+++ b/bench/load/stream_check.hpp
@@ -6,7 +6,7 @@
 
 namespace gypsumdale::load {
 
-/// Reads a streamed answer and compares it with what it has to be.
+/// Parses a streamed answer and compares it with the expected text.
 class StreamCheck
 {
 public:
@@ -14,14 +14,15 @@
         : m_expected(std::move(expected))
     {}
 
-    /// Takes the next piece of the body; returns how many tokens it completed. Linear.
+    /// Parses the next piece of the body; returns the number of tokens that it completed.
+    /// Complexity: linear in the length of the piece.
     std::size_t take(std::string_view piece);
 
-    /// Returns an empty text if the answer came whole, else what is wrong with it.
+    /// Returns an empty text if the answer is complete and correct, else the error.
     std::string verdict() const;
 
 private:
-    bool takeLine(std::string_view line);
+    bool parseLine(std::string_view line);
 
     std::string m_expected;
     std::string m_pending;
--- a/bench/load/workload.hpp
+++ b/bench/load/workload.hpp
@@ -10,7 +10,7 @@
 
 namespace gypsumdale::load {
 
-/// Which consortium's traffic to imitate.
+/// The consortium whose traffic is imitated.
 enum class Mix { Wholesale, SwapShops };
 
 inline constexpr NameTable<Mix, 2> mixNames = {{
@@ -18,13 +18,13 @@
         {Mix::SwapShops, "swapshops"},
 }};
 
-/// A kind of request within a mix.
+/// A class of requests within a mix.
 struct RequestClass
 {
     std::string m_name;
     std::string m_profile;
     std::string m_service;
-    /// Plain services get a path; an empty one means chat completions.
+    /// Path of a call to a plain service; empty for chat completions.
     std::string m_path;
     double m_share = 0;
     int m_promptWords = 0;
@@ -32,18 +32,18 @@
     bool m_keyed = false;
 };
 
-/// Returns the classes of a mix: long durable texts, short questions and calls that must not
-/// repeat.
+/// Returns the classes of a mix: long durable texts, short questions and calls that must not run
+/// twice.
 std::vector<RequestClass> classesOf(Mix mix);
 
-/// A member and the key its callers bear.
+/// A member and the API key of its callers.
 struct MemberKey
 {
     std::string m_member;
     std::string m_key;
 };
 
-/// One request that will be sent, and when, counted from the start of the run.
+/// One scheduled request; its time counts from the start of the run.
 struct Arrival
 {
     Duration m_at = {};
@@ -53,7 +53,7 @@
     std::string m_prompt;
 };
 
-/// What bounds a run.
+/// Rate, limits and seed of a run.
 struct WorkloadSettings
 {
     double m_perSecond = 20;
@@ -62,9 +62,10 @@
     std::uint64_t m_seed = 1;
 };
 
-/// Draws Poisson arrivals, the same for the same seed. The members' sizes fall as 1, 1/2, 1/3 and
-/// so on in the order of their keys. Requests of a member and class share the first half of their
-/// prompts, as templates do. Linear in the arrivals.
+/// Draws Poisson arrivals; the same seed gives the same arrivals. The members' shares of the
+/// traffic are proportional to 1, 1/2, 1/3 and so on in the order of their keys. Requests of the
+/// same member and class share the first half of their prompts, as prompts from a template do.
+/// Complexity: linear in the number of arrivals.
 std::vector<Arrival> drawArrivals(const WorkloadSettings &settings,
                                   const std::vector<RequestClass> &classes, std::size_t members);
 
--- a/bench/loop/main.cpp
+++ b/bench/loop/main.cpp
@@ -1,5 +1,5 @@
-// Round trips and streamed chunks between HttpClient and HttpServer over loopback. Prints one line
-// of figures for each case; with "relay" in a line, a proxy on a loop of its own stands between.
+// Measures round trips and streamed chunks between HttpClient and HttpServer over loopback. Prints
+// one line of figures for each case; cases with "relay" pass through a proxy on its own loop.
 
 #include <gypsumdale/runtime/http_client.hpp>
 #include <gypsumdale/runtime/http_server.hpp>
@@ -21,7 +21,7 @@
 constexpr int streams = 20;
 constexpr int chunksPerStream = 20000;
 
-// The size of a server-sent event that carries one token.
+// Returns a text of the size of a server-sent event with one token.
 const std::string &event()
 {
     static const std::string text(180, 'x');
@@ -44,7 +44,7 @@
     responder.finish();
 }
 
-/// Passes a request on and its answer back piece by piece, as a proxy's traffic fiber does.
+/// Forwards a request and streams its answer back piece by piece, as a proxy's traffic fiber does.
 void relay(HttpClient &client, const Endpoint &upstream, const HttpRequest &request,
            HttpResponder &responder)
 {
--- a/bench/overhead/load_driver.cpp
+++ b/bench/overhead/load_driver.cpp
@@ -13,8 +13,8 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-/// Guards the machine against a system that stalls: no more requests than this wait on one loop.
-constexpr std::size_t mostOpenPerLoop = 500;
+/// Limit of open requests on one loop, which protects the machine when the measured system stalls.
+constexpr std::size_t maxOpenPerLoop = 500;
 
 void append(std::vector<double> &to, const std::vector<double> &from)
 {
@@ -79,7 +79,7 @@
             break;
         if (const auto now = SteadyClock::now(); due > now)
             sleepFiber(due - now);
-        if (loop.m_open >= mostOpenPerLoop) {
+        if (loop.m_open >= maxOpenPerLoop) {
             ++loop.m_record.m_unsent;
             continue;
         }
--- a/bench/overhead/load_driver.hpp
+++ b/bench/overhead/load_driver.hpp
@@ -13,33 +13,33 @@
 
 namespace gypsumdale::overhead {
 
-/// What the requests of one loop brought. Touched on that loop only while a block runs.
+/// Results of the requests of one loop. Accessed only on that loop while a block runs.
 struct Record
 {
-    /// Times in microseconds: of whole answers, to the first token, and of each streamed event.
+    /// Times in microseconds: of complete answers, to the first token, and of each streamed event.
     std::vector<double> m_whole;
     std::vector<double> m_firstToken;
     std::vector<double> m_event;
     std::uint64_t m_events = 0;
     std::uint64_t m_failures = 0;
-    /// Requests that were not sent, as too many were open already.
+    /// Requests that were not sent because too many were open.
     std::uint64_t m_unsent = 0;
 };
 
-/// One request of a block; suspends until its answer is whole.
+/// One request of a block; suspends the fiber until the answer is complete.
 using Work = std::function<void(HttpClient &, Record &)>;
 
-/// Drives load from several loops at once.
+/// Generates load on several loops at once.
 class LoadDriver
 {
 public:
     explicit LoadDriver(int loops);
 
-    /// Runs `count` requests, at most `parallel` at a time, or as many as begin within the time.
+    /// Runs up to `count` requests, at most `parallel` at a time; starts none after `time`.
     Record closedLoop(int parallel, std::size_t count, Duration time, const Work &work);
 
-    /// Begins requests at random times at the given rate per second, whether the earlier ones have
-    /// ended or not, and waits for all of them.
+    /// Starts requests at random times with the given rate per second, independent of the end of
+    /// earlier ones, and waits for all of them.
     Record openLoop(double rate, Duration time, const Work &work);
 
 private:
--- a/bench/overhead/main.cpp
+++ b/bench/overhead/main.cpp
@@ -1,6 +1,6 @@
-// What the system adds to a call: the same requests straight to the upstream and through one
-// gypsumdaled, in short blocks by turns, so that both see the same machine. scripts/bench.sh starts
-// what it needs.
+// Measures the overhead that the system adds to a call: sends the same requests directly to the
+// upstream and through one gypsumdaled, in short alternating blocks, so that both run under the
+// same conditions of the machine. scripts/bench.sh starts the required processes.
 
 #include "bench/overhead/load_driver.hpp"
 #include "bench/overhead/stamped_engine.hpp"
@@ -37,11 +37,11 @@
 constexpr Duration capacityBlock = std::chrono::seconds(1);
 constexpr Duration noLimit = std::chrono::minutes(5);
 constexpr int plainParallel = 32;
-/// More than the stand-in has slots, so that some wait.
+/// Exceeds the slots of the stand-in, so that some requests wait.
 constexpr int crowdedParallel = 400;
 constexpr int pacedParallel = 64;
 constexpr int pacedTokens = 32;
-/// As long as a stream takes, so that half of the slots are in use.
+/// Equals the duration of a stream, so that half of the slots are in use.
 constexpr Duration pacedPause = std::chrono::milliseconds(160);
 constexpr int fastParallel = 128;
 constexpr int fastTokens = 1000;
@@ -62,7 +62,7 @@
     int m_repetitions = 5;
 };
 
-/// One kind of call, sent straight to its upstreams or through the daemon.
+/// One kind of call, sent directly to its upstreams or through the daemon.
 struct Call
 {
     std::vector<Endpoint> m_endpoints;
@@ -107,8 +107,9 @@
         ++record.m_failures;
 }
 
-/// Counts the events in a piece; those of a stamped engine also tell how long they took.
-void takePiece(std::string_view piece, bool isStamped, Record &record)
+/// Counts the events in a piece of a stream; for a stamped engine, also records their transfer
+/// times.
+void countEvents(std::string_view piece, bool isStamped, Record &record)
 {
     constexpr std::string_view field = "\"token_index\"";
     for (std::size_t at = piece.find(field); at != std::string_view::npos;) {
@@ -143,7 +144,7 @@
             break;
         if (std::exchange(isFirst, false))
             record.m_firstToken.push_back(microsSince(begin));
-        takePiece(**text, isStamped, record);
+        countEvents(**text, isStamped, record);
     }
     record.m_whole.push_back(microsSince(begin));
 }
@@ -162,7 +163,7 @@
     };
 }
 
-/// Streams with pauses of random length between, so that the streams don't stay in step.
+/// Returns work that streams and pauses for a random time, so that the streams do not synchronize.
 Work pausingWork(const Call &call)
 {
     return [&call](HttpClient &client, Record &record) {
@@ -181,7 +182,7 @@
             model, tokens, tokens);
 }
 
-/// Values of the repetitions; prints their median and their least and largest.
+/// Values of all repetitions; prints their median, minimum and maximum.
 class Row
 {
 public:
@@ -202,7 +203,7 @@
     std::vector<double> m_values;
 };
 
-/// The times of one kind, direct and through the daemon, and their difference.
+/// Times of one kind of call, directly and through the daemon, and their difference.
 class Comparison
 {
 public:
@@ -286,7 +287,7 @@
 const std::string chatTarget = "/v1/chat/completions";
 const std::string plainBody = R"({"part":"M8-30","count":200})";
 
-/// Waits until a request of each service comes through.
+/// Waits until a request to each service succeeds.
 bool Bench::awaitReady()
 {
     const Call plainCall = through("plain", "/services/app/lookup", plainBody);
@@ -396,7 +397,7 @@
         const Record after = checked(
                 m_driver.closedLoop(fastParallel, unlimited, throughputBlock, streamWork(proxied)));
         const double micros = microsSince(begin);
-        // The control thread's figure is set anew every so often.
+        // The metric of the control thread is updated only at intervals.
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         const double trafficMillis =
                 metric("gypsumdale_traffic_processor_milliseconds_total") - trafficBefore;
--- a/bench/overhead/stamped_engine.cpp
+++ b/bench/overhead/stamped_engine.cpp
@@ -89,7 +89,8 @@
     HttpHeaders headers;
     headers.add("Content-Type", "text/event-stream");
     responder.begin(statusOk, headers);
-    // Streams that began together must not stay in step, or each would wait for all others.
+    // Random offset: streams that start together would otherwise write at the same moments, and
+    // each event would wait for those of all other streams.
     sleepFiber(tokenTime * m_random(stampedSlots) / stampedSlots);
     for (int index = 0; index < stampedEvents; ++index) {
         sleepFiber(tokenTime);
--- a/bench/overhead/stamped_engine.hpp
+++ b/bench/overhead/stamped_engine.hpp
@@ -13,18 +13,18 @@
 inline constexpr int stampedEvents = 100;
 inline constexpr int stampedSlots = 64;
 
-/// Returns the monotonic time in nanoseconds, the same for all threads.
+/// Returns the monotonic time in nanoseconds; comparable between threads.
 std::int64_t nanosNow();
 
-/// Returns the time that an event of a stamped engine was written at, or zero if it has none.
+/// Returns the time at which a stamped engine wrote an event, or zero if the event has no stamp.
 std::int64_t stampIn(std::string_view event);
 
-/// Answers as a model engine does, with streams of 100 events, one each 5 ms, whose text is the
-/// time of writing. The reader of an event learns from it how long the event was under way.
+/// A model engine whose answers are streams of 100 events, one every 5 ms. The text of an event is
+/// the time at which it was written, from which its receiver computes the transfer time.
 class StampedEngine
 {
 public:
-    /// Listens on that port; ends the program with status 1 if it is taken.
+    /// Listens on the port; exits the program with status 1 if the port is in use.
     explicit StampedEngine(std::uint16_t port);
 
 private:
--- a/bench/overhead/statistics.hpp
+++ b/bench/overhead/statistics.hpp
@@ -6,7 +6,7 @@
 
 namespace gypsumdale::overhead {
 
-/// Returns the value that a share of the values doesn't exceed; zero where there are none.
+/// Returns the quantile of the values at the given share, or zero if there are no values.
 inline double quantile(std::vector<double> values, double share)
 {
     if (values.empty())
--- a/bench/platform/matrix.py
+++ b/bench/platform/matrix.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Plays one short day for each kind of trouble, twice, and the hard days of deploy/days.
+"""Runs one short day for each kind of fault, with the fault twice, and the days of deploy/days.
 
 Usage: matrix.py BENCH SITE [--jobs N] [--only TEXT]
-BENCH is the users' bench program, SITE one of their site files. Prints one line a day: rules
-broken, share of credit, worth. The days are written to a temporary folder.
+BENCH is the users' bench program, SITE one of their site files. Prints one line for each day:
+broken rules, share of credit, worth. The days are written to a temporary folder.
 """
 import argparse
 import concurrent.futures
@@ -12,7 +12,7 @@
 import subprocess
 import tempfile
 
-# Each entry: a name and the fields of the trouble beside its time.
+# Each entry: a name and the fields of the fault other than its time.
 TROUBLES = [
     ("burst", 'kind = "burst", x = 2.0, for_s = 4.0'),
     ("hot-key", 'kind = "hot_key", share = 0.4, for_s = 5.0'),
@@ -104,7 +104,7 @@
     ("revoke-last", 'kind = "revoke", count = 2, gap_s = 0.5, how = "last"'),
     ("after-ack-kill", 'kind = "after_ack_kill", count = 2'),
 ]
-# Days of several troubles that hurt each other, which hunts on every site play as well.
+# Days on which several faults interact; searches for failures run them on every site, too.
 HARD_DAYS = pathlib.Path(__file__).parents[2] / "deploy" / "days"
 LENGTH_S = 34.0
 
@@ -114,7 +114,7 @@
 
 
 def base_day(site_text):
-    """Returns traffic, marks and seed of the site's first day with trouble."""
+    """Returns the text and the traffic of the site's first day with faults."""
     day = re.split(r"(?m)^\[\[day\]\]\n", site_text)[2]
     traffic = re.search(r"(?ms)^traffic = \[\n.*?^\]\n", day).group(0)
     return day, traffic
--- a/bench/platform/worth.py
+++ b/bench/platform/worth.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Plays days of a site with several seeds and shows where their worth goes.
+"""Runs days of a site with several seeds and shows the parts and losses of their worth.
 
 Usage: worth.py BENCH SITE --why TEXT [--days NAME,...] [--seeds N,...] [--jobs N]
-BENCH is the users' bench program, SITE one of their site files; days default to all of its own. A
-line a day: worth (the mean over the seeds, and each), the parts that it is made of, what is lost to
-refusals, failures and late answers, and the prices that cost the most. The last line is the mean
-over the days with trouble.
+BENCH is the users' bench program, SITE one of their site files; all of its days are the default.
+Prints one line for each day: worth (the mean over the seeds, and each value), its parts, the shares
+of late, refused and failed requests, and the prices that cost the most. The last line is the mean
+over the days with faults.
 """
 import argparse
 import concurrent.futures
@@ -29,7 +29,7 @@
 
 
 def play(bench, site, day, seed, why):
-    """Returns the report of one play, or the bench's words where there is none."""
+    """Returns the report of one run, or the output of the bench if there is no report."""
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / "report.json"
         command = [bench, "run", site, day, "--seed", str(seed), "--report", str(report), "--why", why]
@@ -40,7 +40,7 @@
 
 
 def share(report, name):
-    """Returns what part of the requests that were asked ended so."""
+    """Returns the share of the requests with the given outcome."""
     return report["all"][name] / max(1, report["all"]["n"])
 
 
@@ -63,7 +63,7 @@
 
 
 def worst(report):
-    """Names the worst windows of a play, as second:worth."""
+    """Returns the worst windows of a run as second:worth."""
     windows = sorted(report["windows"], key=lambda window: window["worth"])[:WORST_WINDOWS]
     return " ".join(f"{window['name']}:{window['worth']:.2f}" for window in windows)
 
--- a/bench/policy/engine_model.hpp
+++ b/bench/policy/engine_model.hpp
@@ -10,8 +10,8 @@
 
 namespace gypsumdale::bench {
 
-/// How fast a model engine is. A step prefills up to a chunk of prompt tokens and gives each
-/// running request one token.
+/// Speed and size of a model engine. A step prefills up to one chunk of prompt tokens and generates
+/// one token for each running request.
 struct EngineSpeed
 {
     std::uint32_t m_slots = 16;
@@ -23,7 +23,7 @@
     std::uint32_t m_blockTokens = 64;
 };
 
-/// A token, or the end, of a request in a step.
+/// Output of one step for one request: a token, or the end of the request.
 struct EngineOutput
 {
     RequestId m_request;
@@ -37,12 +37,12 @@
 public:
     explicit EngineModel(EngineSpeed speed = {});
 
-    /// Takes a request in; what exceeds the slots queues. Returns the prompt tokens found cached.
+    /// Adds a request, which queues if no slot is free. Returns the number of cached prompt tokens.
     std::uint32_t add(const WaitingRequest &request);
 
-    /// Returns how long the next step takes, and zero if there is nothing to do.
+    /// Returns the duration of the next step, or zero if the engine is idle.
     Duration stepTime() const;
-    /// Does the step that stepTime() announced.
+    /// Performs the step whose duration stepTime() returned.
     std::vector<EngineOutput> step();
 
     std::uint32_t running() const;
--- a/bench/policy/experiments.cpp
+++ b/bench/policy/experiments.cpp
@@ -14,17 +14,17 @@
 
 using namespace std::chrono_literals;
 
-/// Requests a second of the default phone load that six default engines serve with the first token
-/// in time; found with `bench-policy overload`.
+/// Requests per second of the default phone load for which six default engines generate the first
+/// token in time; see `bench-policy overload`.
 constexpr double phoneCapacity = 46.0;
 
-/// The values of one cell over the seeds.
+/// Values of one table cell, one for each seed.
 class Spread
 {
 public:
     void add(double value) { m_values.push_back(value); }
 
-    /// Writes the median and, in brackets, the least and the largest.
+    /// Returns the median and, in brackets, the minimum and the maximum.
     std::string text(int digits) const
     {
         return fmt::format("{:.{}f} ({:.{}f}-{:.{}f})", percentile(m_values, 0.5), digits,
@@ -36,7 +36,7 @@
     std::vector<double> m_values;
 };
 
-/// Runs a scenario with each seed and hands on what came out.
+/// Runs a scenario with each seed and passes each report to `use`.
 void runSeeds(Scenario scenario, int seeds, const std::function<void(const Report &)> &use)
 {
     for (int seed = 1; seed <= seeds; ++seed) {
@@ -141,7 +141,7 @@
         scenario.m_settings.m_slots.m_window = 6 * heartbeat;
         scenario.m_settings.m_maxWaiting = 400;
         scenario.m_settings.m_maxWaitingPerMember = 200;
-        // Both have more than can be served, but b's requests come mostly or only to one entry VM.
+        // Both members exceed the capacity, but b's requests arrive mostly or only at one entry VM.
         Load everywhere;
         everywhere.m_member = "a";
         everywhere.m_requestsPerSecond = phoneCapacity * 1.5;
@@ -182,7 +182,7 @@
             Load draft = phone;
             draft.m_profile = "draft";
             draft.m_priority = 2;
-            // Seven times the work of a phone call.
+            // A draft is seven times the work of a phone call.
             draft.m_answerTokens = 600;
             draft.m_requestsPerSecond = phoneCapacity * drafts / 7.0;
             draft.m_target = 20s;
--- a/bench/policy/experiments.hpp
+++ b/bench/policy/experiments.hpp
@@ -2,21 +2,23 @@
 
 namespace gypsumdale::bench {
 
-/// How other members' first tokens move when one sends ten times its share.
+/// Prints how the first-token times of other members change when one member sends ten times its
+/// share.
 void fairnessTable(int seeds);
-/// The largest service gap of two backlogged members against the age of heartbeats.
+/// Prints the largest service gap of two backlogged members by the age of heartbeats.
 void gapTable(int seeds);
-/// Phone calls beside long drafts of the same member, by the order of classes.
+/// Prints the results of phone calls next to long drafts of the same member, by the order of
+/// classes.
 void classesTable(int seeds);
-/// Prefix hits and latencies of the routing policies against the age of load reports.
+/// Prints prefix hits and latencies of the routing policies by the age of load reports.
 void routingTable(int seeds);
-/// Answers in time from half to three times the capacity.
+/// Prints the answers in time at loads from half to three times the capacity.
 void overloadTable(int seeds);
-/// Attempts by first attempts while half the fleet fails.
+/// Prints the ratio of attempts to first attempts while half of the fleet fails.
 void retriesTable(int seeds);
-/// Overshoot and use of an engine's slots by what is kept for idle peers.
+/// Prints overshoot and use of an engine's slots by the reserve for idle peers.
 void slotsTable(int seeds);
-/// Processor time of one decision against the number of upstreams.
+/// Prints the processor time of one decision by the number of upstreams.
 void costTable(int seeds);
 
 } // namespace gypsumdale::bench
--- a/bench/policy/scenario.cpp
+++ b/bench/policy/scenario.cpp
@@ -151,7 +151,7 @@
 void Simulation::arrive(const Load &load)
 {
     const auto nodes = static_cast<std::uint32_t>(m_scenario.m_nodes);
-    Flight flight;
+    InFlightRequest flight;
     flight.m_load = &load;
     flight.m_node = load.m_node >= 0 ? load.m_node : static_cast<int>(m_random(nodes));
     flight.m_arrivedAt = m_now;
@@ -162,7 +162,7 @@
     request.m_priority = m_scenario.m_isFifo ? 0 : load.m_priority;
     request.m_arrivedAt = m_now;
     request.m_promptTokens = load.m_promptTokens;
-    // Between half and one and a half times the usual length.
+    // Between 0.5 and 1.5 times the mean length.
     request.m_expectedTokens = static_cast<std::uint32_t>(load.m_answerTokens * (0.5 + random()));
     if (!m_scenario.m_ignoresTargets)
         request.m_firstTokenDeadline = m_now + load.m_target;
@@ -178,7 +178,7 @@
     flight.m_info = firstAttemptInfo(profile, std::nullopt);
     const int node = flight.m_node;
     const WaitingRequest submitted = request;
-    m_flights[submitted.m_id] = std::move(flight);
+    m_inFlight[submitted.m_id] = std::move(flight);
     apply(node, m_nodes[static_cast<std::size_t>(node)].submit(submitted, m_now));
 }
 
@@ -190,9 +190,9 @@
             continue;
         }
         const RequestId &id = std::get<Refuse>(command).m_request;
-        const Load &load = *m_flights.at(id).m_load;
+        const Load &load = *m_inFlight.at(id).m_load;
         ++m_report.m_outcomes[load.m_member + "/" + load.m_profile].m_refused;
-        m_flights.erase(id);
+        m_inFlight.erase(id);
     }
 }
 
@@ -205,7 +205,7 @@
 {
     const int engine = std::stoi(dispatch.m_upstream.text().substr(7));
     const RequestId id = dispatch.m_request.m_id;
-    Flight &flight = m_flights.at(id);
+    InFlightRequest &flight = m_inFlight.at(id);
     flight.m_node = node;
     flight.m_engine = engine;
     ++m_report.m_attempts;
@@ -219,12 +219,12 @@
     m_report.m_mostAtOneEngine =
             std::max(m_report.m_mostAtOneEngine, model.running() + model.queued());
     m_served[flight.m_load->m_member] += dispatch.m_request.m_promptTokens;
-    wake(engine);
+    scheduleStep(engine);
 }
 
 void Simulation::fail(const RequestId &id)
 {
-    const Flight flight = m_flights.at(id);
+    const InFlightRequest flight = m_inFlight.at(id);
     const auto node = static_cast<std::size_t>(flight.m_node);
     AttemptState attempt;
     attempt.m_outcome = AttemptOutcome::NothingSent;
@@ -236,19 +236,19 @@
     const auto *retry = std::get_if<Retry>(&decision);
     if (retry == nullptr) {
         ++m_report.m_failedForGood;
-        m_flights.erase(id);
+        m_inFlight.erase(id);
         return;
     }
-    m_flights.at(id).m_info = retry->m_next;
+    m_inFlight.at(id).m_info = retry->m_next;
     at(m_now + retry->m_backoff, [this, id] {
-        Flight &again = m_flights.at(id);
+        InFlightRequest &again = m_inFlight.at(id);
         again.m_request.m_triedUpstreams.push_back(engineName(again.m_engine));
         const int to = again.m_node;
         apply(to, m_nodes[static_cast<std::size_t>(to)].submit(again.m_request, m_now));
     });
 }
 
-void Simulation::wake(int engine)
+void Simulation::scheduleStep(int engine)
 {
     const auto index = static_cast<std::size_t>(engine);
     const Duration step = m_engines[index].stepTime();
@@ -264,12 +264,12 @@
     m_isBusy[index] = false;
     for (const EngineOutput &output : m_engines[index].step())
         handle(output);
-    wake(engine);
+    scheduleStep(engine);
 }
 
 void Simulation::handle(const EngineOutput &output)
 {
-    Flight &flight = m_flights.at(output.m_request);
+    InFlightRequest &flight = m_inFlight.at(output.m_request);
     const auto node = static_cast<std::size_t>(flight.m_node);
     Outcome &outcome =
             m_report.m_outcomes[flight.m_load->m_member + "/" + flight.m_load->m_profile];
@@ -286,7 +286,7 @@
     if (!output.m_isLast)
         return;
     const int to = flight.m_node;
-    m_flights.erase(output.m_request);
+    m_inFlight.erase(output.m_request);
     apply(to, m_nodes[node].finishAttempt(output.m_request, AttemptEnd::Completed, m_now));
 }
 
@@ -330,7 +330,7 @@
     m_report.m_meanSlotUse += mean / m_scenario.m_speed.m_slots;
     if (m_served.size() != 2)
         return;
-    // The first ten seconds fill the engines and don't count.
+    // The first ten seconds are warm-up, in which the engines fill, and are not counted.
     const double gap = m_served.begin()->second - m_served.rbegin()->second;
     if (m_now < m_end - m_scenario.m_length + std::chrono::seconds(10)) {
         m_gapBase = gap;
--- a/bench/policy/scenario.hpp
+++ b/bench/policy/scenario.hpp
@@ -15,7 +15,7 @@
 
 namespace gypsumdale::bench {
 
-/// A stream of like requests of one member.
+/// A stream of similar requests of one member.
 struct Load
 {
     std::string m_member;
@@ -25,14 +25,14 @@
     std::uint32_t m_promptTokens = 400;
     std::uint32_t m_answerTokens = 60;
     Duration m_target = std::chrono::seconds(1);
-    /// Different prompt prefixes that the requests draw from, and blocks in each; 0 for none.
+    /// Number of prompt prefixes that the requests choose from, and of blocks in each; 0 for none.
     std::uint32_t m_prefixes = 0;
     std::uint32_t m_prefixBlocks = 0;
-    /// The entry VM it goes to, or -1 for any.
+    /// Index of the entry VM that receives the requests, or -1 for any.
     int m_node = -1;
 };
 
-/// What an experiment runs with.
+/// Parameters of one simulation.
 struct Scenario
 {
     std::uint64_t m_seed = 1;
@@ -46,18 +46,18 @@
     Duration m_reportAge = std::chrono::milliseconds(200);
     Duration m_length = std::chrono::seconds(60);
     std::vector<Load> m_loads;
-    /// All members and classes in one queue, in order of arrival.
+    /// Puts all members and classes in one queue, in order of arrival.
     bool m_isFifo = false;
-    /// Nothing is refused or given up for its target.
+    /// Refuses or abandons no request because of its target.
     bool m_ignoresTargets = false;
-    /// Which part of all slots member "a" may have at most; 0 for no limit.
+    /// Largest share of all slots that member "a" may hold; 0 for no limit.
     double m_firstMemberPart = 0.0;
-    /// From a third of the time on this many engines fail every request after 10 ms.
+    /// Number of engines that fail every request after 10 ms, from one third of the run on.
     int m_failingEngines = 0;
     bool m_hasRetryBudget = true;
 };
 
-/// What came out for one member and profile.
+/// Results for one member and profile.
 struct Outcome
 {
     std::vector<double> m_firstTokenMillis;
@@ -75,16 +75,16 @@
     std::size_t m_failedForGood = 0;
     std::uint64_t m_promptTokens = 0;
     std::uint64_t m_cachedTokens = 0;
-    /// The largest difference of weighted service of two members that both waited all the time.
+    /// Largest difference of weighted service between two members that were always backlogged.
     double m_largestGap = 0.0;
     std::uint32_t m_mostAtOneEngine = 0;
-    /// Mean over time of the busiest engine's requests by the mean engine's.
+    /// Mean over time of the ratio of the busiest engine's requests to the mean per engine.
     double m_imbalance = 0.0;
     double m_meanSlotUse = 0.0;
     double m_tokensPerSecond = 0.0;
 };
 
-/// The decision logic of a few entry VMs against engine models, event by event on a paused clock.
+/// Discrete-event simulation of the decision logic of a few entry VMs with engine models.
 class Simulation
 {
 public:
@@ -99,7 +99,7 @@
         std::function<void()> m_action;
         bool operator<(const Event &other) const;
     };
-    struct Flight
+    struct InFlightRequest
     {
         const Load *m_load = nullptr;
         int m_node = 0;
@@ -117,7 +117,7 @@
     void apply(int node, const AdmissionCommands &commands);
     void send(int node, const Dispatch &dispatch);
     void fail(const RequestId &id);
-    void wake(int engine);
+    void scheduleStep(int engine);
     void stepEngine(int engine);
     void handle(const EngineOutput &output);
     void exchangeHeartbeats();
@@ -136,14 +136,14 @@
     std::vector<RetryBudget> m_budgets;
     std::vector<EngineModel> m_engines;
     std::vector<bool> m_isBusy;
-    std::map<RequestId, Flight> m_flights;
+    std::map<RequestId, InFlightRequest> m_inFlight;
     std::map<std::string, double> m_served;
     Report m_report;
     std::size_t m_samples = 0;
     double m_gapBase = 0.0;
 };
 
-/// Returns a percentile of the values, 0 for none. Sorts its copy.
+/// Returns a percentile of the values, or 0 if there are none. Sorts a copy of the values.
 double percentile(std::vector<double> values, double part);
 
 } // namespace gypsumdale::bench
