--- a/bench/overhead/main.cpp
+++ b/bench/overhead/main.cpp
@@ -307,34 +307,36 @@
 
 void Bench::plainRequests()
 {
-    const Call straight = direct({m_settings.m_plain}, "/lookup", plainBody);
-    const Call proxied = through("plain", "/services/app/lookup", plainBody);
+    const Call directCall = direct({m_settings.m_plain}, "/lookup", plainBody);
+    const Call daemonCall = through("plain", "/services/app/lookup", plainBody);
     Row capacity("plain capacity through");
     Row crowded("plain capacity through, 400 open");
     Row alone("plain capacity direct");
     Comparison halfLoad("plain at half load");
     Comparison idle("plain one at a time");
     for (int repetition = 0; repetition < m_settings.m_repetitions; ++repetition) {
-        const Record most = checked(
-                m_driver.closedLoop(plainParallel, unlimited, capacityBlock, plainWork(proxied)));
-        const double rate = static_cast<double>(most.m_whole.size())
+        const Record capacityRun = checked(m_driver.closedLoop(
+                plainParallel, unlimited, capacityBlock, plainWork(daemonCall)));
+        const double rate = static_cast<double>(capacityRun.m_whole.size())
                             / std::chrono::duration<double>(capacityBlock).count();
         capacity.add(rate);
-        const Record crowd = checked(
-                m_driver.closedLoop(crowdedParallel, unlimited, capacityBlock, plainWork(proxied)));
-        crowded.add(static_cast<double>(crowd.m_whole.size())
+        const Record crowdedRun = checked(m_driver.closedLoop(
+                crowdedParallel, unlimited, capacityBlock, plainWork(daemonCall)));
+        crowded.add(static_cast<double>(crowdedRun.m_whole.size())
                     / std::chrono::duration<double>(capacityBlock).count());
-        const Record mostDirect = checked(
-                m_driver.closedLoop(plainParallel, unlimited, capacityBlock, plainWork(straight)));
-        alone.add(static_cast<double>(mostDirect.m_whole.size())
+        const Record directCapacityRun = checked(m_driver.closedLoop(
+                plainParallel, unlimited, capacityBlock, plainWork(directCall)));
+        alone.add(static_cast<double>(directCapacityRun.m_whole.size())
                   / std::chrono::duration<double>(capacityBlock).count());
-        const Record before = checked(m_driver.openLoop(rate / 2, plainBlock, plainWork(straight)));
-        const Record after = checked(m_driver.openLoop(rate / 2, plainBlock, plainWork(proxied)));
+        const Record before =
+                checked(m_driver.openLoop(rate / 2, plainBlock, plainWork(directCall)));
+        const Record after =
+                checked(m_driver.openLoop(rate / 2, plainBlock, plainWork(daemonCall)));
         halfLoad.add(before.m_whole, after.m_whole);
         const Record oneDirect =
-                checked(m_driver.closedLoop(1, unlimited, plainBlock, plainWork(straight)));
+                checked(m_driver.closedLoop(1, unlimited, plainBlock, plainWork(directCall)));
         const Record one =
-                checked(m_driver.closedLoop(1, unlimited, plainBlock, plainWork(proxied)));
+                checked(m_driver.closedLoop(1, unlimited, plainBlock, plainWork(daemonCall)));
         idle.add(oneDirect.m_whole, one.m_whole);
     }
     capacity.print("requests/s");
@@ -347,14 +349,14 @@
 void Bench::pacedStreams()
 {
     const std::string body = chatBody("paced", pacedTokens);
-    const Call straight = direct(m_settings.m_paced, chatTarget, body);
-    const Call proxied = through("chat", chatTarget, body);
+    const Call directCall = direct(m_settings.m_paced, chatTarget, body);
+    const Call daemonCall = through("chat", chatTarget, body);
     Comparison firstToken("first token, half of the slots");
     for (int repetition = 0; repetition < m_settings.m_repetitions; ++repetition) {
-        const Record before = checked(
-                m_driver.closedLoop(pacedParallel, unlimited, streamBlock, pausingWork(straight)));
-        const Record after = checked(
-                m_driver.closedLoop(pacedParallel, unlimited, streamBlock, pausingWork(proxied)));
+        const Record before = checked(m_driver.closedLoop(pacedParallel, unlimited, streamBlock,
+                                                          pausingWork(directCall)));
+        const Record after = checked(m_driver.closedLoop(pacedParallel, unlimited, streamBlock,
+                                                         pausingWork(daemonCall)));
         firstToken.add(before.m_firstToken, after.m_firstToken);
     }
     firstToken.print();
@@ -363,14 +365,14 @@
 void Bench::stampedStreams()
 {
     const std::string body = chatBody("stamped", stampedEvents);
-    const Call straight = direct({m_settings.m_stamped}, chatTarget, body);
-    const Call proxied = through("chat", chatTarget, body);
+    const Call directCall = direct({m_settings.m_stamped}, chatTarget, body);
+    const Call daemonCall = through("chat", chatTarget, body);
     Comparison event("streamed event, half of the slots");
     for (int repetition = 0; repetition < m_settings.m_repetitions; ++repetition) {
         const Record before = checked(m_driver.closedLoop(stampedSlots / 2, unlimited, streamBlock,
-                                                          streamWork(straight, true)));
+                                                          streamWork(directCall, true)));
         const Record after = checked(m_driver.closedLoop(stampedSlots / 2, unlimited, streamBlock,
-                                                         streamWork(proxied, true)));
+                                                         streamWork(daemonCall, true)));
         event.add(before.m_event, after.m_event);
     }
     event.print();
@@ -379,8 +381,8 @@
 void Bench::throughput()
 {
     const std::string body = chatBody("fast", fastTokens);
-    const Call straight = direct(m_settings.m_fast, chatTarget, body);
-    const Call proxied = through("chat", chatTarget, body);
+    const Call directCall = direct(m_settings.m_fast, chatTarget, body);
+    const Call daemonCall = through("chat", chatTarget, body);
     Row alone("events direct");
     Row wall("events through");
     Row traffic("events per second of the traffic thread");
@@ -389,13 +391,13 @@
     for (int repetition = 0; repetition < m_settings.m_repetitions; ++repetition) {
         const auto directBegin = nanosNow();
         const Record before = checked(m_driver.closedLoop(fastParallel, unlimited, throughputBlock,
-                                                          streamWork(straight)));
+                                                          streamWork(directCall)));
         alone.add(static_cast<double>(before.m_events) * 1e6 / microsSince(directBegin));
         const double trafficBefore = metric("gypsumdale_traffic_processor_milliseconds_total");
         const double controlBefore = metric("gypsumdale_control_processor_milliseconds_total");
         const auto begin = nanosNow();
-        const Record after = checked(
-                m_driver.closedLoop(fastParallel, unlimited, throughputBlock, streamWork(proxied)));
+        const Record after = checked(m_driver.closedLoop(fastParallel, unlimited, throughputBlock,
+                                                         streamWork(daemonCall)));
         const double micros = microsSince(begin);
         // The metric of the control thread is updated only at intervals.
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
--- a/standins/cloud.cpp
+++ b/standins/cloud.cpp
@@ -41,8 +41,8 @@
 {
     std::vector<std::string> affected;
     for (auto &[recordId, record] : m_records) {
-        const bool meant = id.empty() ? record.m_vm.m_zone == zone : recordId == id;
-        if (!meant || record.m_removedAt)
+        const bool isAffected = id.empty() ? record.m_vm.m_zone == zone : recordId == id;
+        if (!isAffected || record.m_removedAt)
             continue;
         if (!record.m_leavingAt)
             record.m_leavingAt = now;
--- a/standins/cloud_server.cpp
+++ b/standins/cloud_server.cpp
@@ -237,12 +237,12 @@
     const bool kills = flagField(body, "die", true);
     m_loop.spawn([this, affected, notice, kills] {
         sleepFiber(notice);
-        end(affected, kills);
+        removeVms(affected, kills);
     });
     return jsonReply(200, {{"deadlineMillis", deadline}, {"vms", affected}});
 }
 
-void CloudServer::end(const std::vector<std::string> &ids, bool kills)
+void CloudServer::removeVms(const std::vector<std::string> &ids, bool kills)
 {
     for (const std::string &id : ids) {
         const auto vm = m_cloud.find(id);
--- a/standins/cloud_server.hpp
+++ b/standins/cloud_server.hpp
@@ -53,7 +53,7 @@
     HttpReply setPrices(const Json &body);
     HttpReply waitForNotices(const HttpRequest &request, HttpResponder &responder);
     HttpReply reclaim(const Json &body);
-    void end(const std::vector<std::string> &ids, bool kill);
+    void removeVms(const std::vector<std::string> &ids, bool kill);
     void kill(const Vm &vm);
 
     const Clock &m_clock;
--- a/standins/engine_server.cpp
+++ b/standins/engine_server.cpp
@@ -67,9 +67,9 @@
     std::string m_model;
     int m_firstIndex = 0;
     int m_sent = 0;
-    std::optional<Fault> m_cut;
-    std::optional<Fault> m_end;
-    std::optional<Fault> m_silence;
+    std::optional<Fault> m_cutStream;
+    std::optional<Fault> m_endEarly;
+    std::optional<Fault> m_silentStream;
     std::optional<Fault> m_duplicate;
     std::optional<Fault> m_crossed;
     Duration m_extraTokenTime = {};
@@ -115,12 +115,12 @@
     stream.m_attempt = generation->m_attempt;
     stream.m_model = m_engine.settings().m_model;
     stream.m_firstIndex = generation->m_resumeTokens;
-    stream.m_cut = m_faults.take(FaultKind::CutStream, line);
+    stream.m_cutStream = m_faults.take(FaultKind::CutStream, line);
     // Only one fault ends a stream; the others are kept for later requests.
-    if (!stream.m_cut)
-        stream.m_end = m_faults.take(FaultKind::EndEarly, line);
-    if (!stream.m_cut && !stream.m_end)
-        stream.m_silence = m_faults.take(FaultKind::SilentStream, line);
+    if (!stream.m_cutStream)
+        stream.m_endEarly = m_faults.take(FaultKind::EndEarly, line);
+    if (!stream.m_cutStream && !stream.m_endEarly)
+        stream.m_silentStream = m_faults.take(FaultKind::SilentStream, line);
     stream.m_duplicate = m_faults.take(FaultKind::DuplicateEvent, line);
     stream.m_crossed = m_faults.take(FaultKind::CrossedAnswer, line);
     if (const auto slow = m_faults.take(FaultKind::Slow, line))
@@ -255,18 +255,18 @@
 
 bool EngineServer::applyStreamFault(const Stream &stream, HttpResponder &responder)
 {
-    const auto strikes = [&](const std::optional<Fault> &fault) {
+    const auto isDue = [&](const std::optional<Fault> &fault) {
         return fault && stream.m_sent >= fault->m_afterTokens;
     };
-    if (strikes(stream.m_silence)) {
+    if (isDue(stream.m_silentStream)) {
         m_lifetime.waitUntilGone(responder);
         return true;
     }
-    if (strikes(stream.m_end)) {
+    if (isDue(stream.m_endEarly)) {
         responder.finish();
         return true;
     }
-    return strikes(stream.m_cut);
+    return isDue(stream.m_cutStream);
 }
 
 HttpReply EngineServer::answerAuxiliaryCall(const HttpRequest &request)
--- a/standins/fault_plan.cpp
+++ b/standins/fault_plan.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-bool strikes(const Fault &fault, FaultKind kind, std::string_view request)
+bool matchesRequest(const Fault &fault, FaultKind kind, std::string_view request)
 {
     return fault.m_kind == kind && request.find(fault.m_match) != std::string_view::npos;
 }
@@ -50,7 +50,7 @@
 std::optional<Fault> FaultPlan::take(FaultKind kind, std::string_view request)
 {
     const auto found = std::find_if(m_faults.begin(), m_faults.end(), [&](const Fault &fault) {
-        return strikes(fault, kind, request);
+        return matchesRequest(fault, kind, request);
     });
     if (found == m_faults.end())
         return std::nullopt;
--- a/standins/instance.hpp
+++ b/standins/instance.hpp
@@ -24,7 +24,7 @@
     /// Opens the socket. Fails with AddressInUse.
     Result<Done> open();
 
-    /// Answers one call that arrived on the own socket or on the control socket.
+    /// Answers one call that arrived on its own socket or on the control socket.
     void handle(const HttpRequest &request, HttpResponder &responder);
 
     /// Stops serving like a killed process (Stopped: all connections close) or like a vanished VM
@@ -32,7 +32,7 @@
     void die(LifeState state);
 
     /// Restarts on the same port with empty state and the next incarnation. A platform or cloud
-    /// keeps its state, because the tests do not simulate failures of their processes.
+    /// keeps its state, because its restart does not stand for a failed process.
     Result<Done> restart();
 
     /// Sets the function that starts rented VMs of a cloud; does nothing for other roles.
