--- a/bench/overhead/main.cpp
+++ b/bench/overhead/main.cpp
@@ -1,6 +1,6 @@
-// What the system adds to a call: the same requests straight to the upstream and through one
-// gypsumdaled, in short blocks by turns, so that both see the same machine. scripts/bench.sh starts
-// what it needs.
+// Measures the overhead that the system adds to a call: sends the same requests directly to the
+// upstream and through one gypsumdaled, in short alternating blocks, so that both run under the
+// same conditions of the machine. scripts/bench.sh starts the required processes.
 
 #include "bench/overhead/load_driver.hpp"
 #include "bench/overhead/stamped_engine.hpp"
@@ -37,11 +37,11 @@
 constexpr Duration capacityBlock = std::chrono::seconds(1);
 constexpr Duration noLimit = std::chrono::minutes(5);
 constexpr int plainParallel = 32;
-/// More than the stand-in has slots, so that some wait.
+/// Exceeds the slots of the stand-in, so that some requests wait.
 constexpr int crowdedParallel = 400;
 constexpr int pacedParallel = 64;
 constexpr int pacedTokens = 32;
-/// As long as a stream takes, so that half of the slots are in use.
+/// Equals the duration of a stream, so that half of the slots are in use.
 constexpr Duration pacedPause = std::chrono::milliseconds(160);
 constexpr int fastParallel = 128;
 constexpr int fastTokens = 1000;
@@ -62,7 +62,7 @@
     int m_repetitions = 5;
 };
 
-/// One kind of call, sent straight to its upstreams or through the daemon.
+/// One kind of call, sent directly to its upstreams or through the daemon.
 struct Call
 {
     std::vector<Endpoint> m_endpoints;
@@ -107,8 +107,9 @@
         ++record.m_failures;
 }
 
-/// Counts the events in a piece; those of a stamped engine also tell how long they took.
-void takePiece(std::string_view piece, bool isStamped, Record &record)
+/// Counts the events in a piece of a stream; for a stamped engine, also records their transfer
+/// times.
+void countEvents(std::string_view piece, bool isStamped, Record &record)
 {
     constexpr std::string_view field = "\"token_index\"";
     for (std::size_t at = piece.find(field); at != std::string_view::npos;) {
@@ -143,7 +144,7 @@
             break;
         if (std::exchange(isFirst, false))
             record.m_firstToken.push_back(microsSince(begin));
-        takePiece(**text, isStamped, record);
+        countEvents(**text, isStamped, record);
     }
     record.m_whole.push_back(microsSince(begin));
 }
@@ -162,7 +163,7 @@
     };
 }
 
-/// Streams with pauses of random length between, so that the streams don't stay in step.
+/// Returns work that streams and pauses for a random time, so that the streams do not synchronize.
 Work pausingWork(const Call &call)
 {
     return [&call](HttpClient &client, Record &record) {
@@ -181,7 +182,7 @@
             model, tokens, tokens);
 }
 
-/// Values of the repetitions; prints their median and their least and largest.
+/// Values of all repetitions; prints their median, minimum and maximum.
 class Row
 {
 public:
@@ -202,7 +203,7 @@
     std::vector<double> m_values;
 };
 
-/// The times of one kind, direct and through the daemon, and their difference.
+/// Times of one kind of call, directly and through the daemon, and their difference.
 class Comparison
 {
 public:
@@ -286,7 +287,7 @@
 const std::string chatTarget = "/v1/chat/completions";
 const std::string plainBody = R"({"part":"M8-30","count":200})";
 
-/// Waits until a request of each service comes through.
+/// Waits until a request to each service succeeds.
 bool Bench::awaitReady()
 {
     const Call plainCall = through("plain", "/services/app/lookup", plainBody);
@@ -306,34 +307,36 @@
 
 void Bench::plainRequests()
 {
-    const Call straight = direct({m_settings.m_plain}, "/lookup", plainBody);
-    const Call proxied = through("plain", "/services/app/lookup", plainBody);
+    const Call directCall = direct({m_settings.m_plain}, "/lookup", plainBody);
+    const Call daemonCall = through("plain", "/services/app/lookup", plainBody);
     Row capacity("plain capacity through");
     Row crowded("plain capacity through, 400 open");
     Row alone("plain capacity direct");
     Comparison halfLoad("plain at half load");
     Comparison idle("plain one at a time");
     for (int repetition = 0; repetition < m_settings.m_repetitions; ++repetition) {
-        const Record most = checked(
-                m_driver.closedLoop(plainParallel, unlimited, capacityBlock, plainWork(proxied)));
-        const double rate = static_cast<double>(most.m_whole.size())
+        const Record capacityRun = checked(m_driver.closedLoop(
+                plainParallel, unlimited, capacityBlock, plainWork(daemonCall)));
+        const double rate = static_cast<double>(capacityRun.m_whole.size())
                             / std::chrono::duration<double>(capacityBlock).count();
         capacity.add(rate);
-        const Record crowd = checked(
-                m_driver.closedLoop(crowdedParallel, unlimited, capacityBlock, plainWork(proxied)));
-        crowded.add(static_cast<double>(crowd.m_whole.size())
+        const Record crowdedRun = checked(m_driver.closedLoop(
+                crowdedParallel, unlimited, capacityBlock, plainWork(daemonCall)));
+        crowded.add(static_cast<double>(crowdedRun.m_whole.size())
                     / std::chrono::duration<double>(capacityBlock).count());
-        const Record mostDirect = checked(
-                m_driver.closedLoop(plainParallel, unlimited, capacityBlock, plainWork(straight)));
-        alone.add(static_cast<double>(mostDirect.m_whole.size())
+        const Record directCapacityRun = checked(m_driver.closedLoop(
+                plainParallel, unlimited, capacityBlock, plainWork(directCall)));
+        alone.add(static_cast<double>(directCapacityRun.m_whole.size())
                   / std::chrono::duration<double>(capacityBlock).count());
-        const Record before = checked(m_driver.openLoop(rate / 2, plainBlock, plainWork(straight)));
-        const Record after = checked(m_driver.openLoop(rate / 2, plainBlock, plainWork(proxied)));
+        const Record before =
+                checked(m_driver.openLoop(rate / 2, plainBlock, plainWork(directCall)));
+        const Record after =
+                checked(m_driver.openLoop(rate / 2, plainBlock, plainWork(daemonCall)));
         halfLoad.add(before.m_whole, after.m_whole);
         const Record oneDirect =
-                checked(m_driver.closedLoop(1, unlimited, plainBlock, plainWork(straight)));
+                checked(m_driver.closedLoop(1, unlimited, plainBlock, plainWork(directCall)));
         const Record one =
-                checked(m_driver.closedLoop(1, unlimited, plainBlock, plainWork(proxied)));
+                checked(m_driver.closedLoop(1, unlimited, plainBlock, plainWork(daemonCall)));
         idle.add(oneDirect.m_whole, one.m_whole);
     }
     capacity.print("requests/s");
@@ -346,14 +349,14 @@
 void Bench::pacedStreams()
 {
     const std::string body = chatBody("paced", pacedTokens);
-    const Call straight = direct(m_settings.m_paced, chatTarget, body);
-    const Call proxied = through("chat", chatTarget, body);
+    const Call directCall = direct(m_settings.m_paced, chatTarget, body);
+    const Call daemonCall = through("chat", chatTarget, body);
     Comparison firstToken("first token, half of the slots");
     for (int repetition = 0; repetition < m_settings.m_repetitions; ++repetition) {
-        const Record before = checked(
-                m_driver.closedLoop(pacedParallel, unlimited, streamBlock, pausingWork(straight)));
-        const Record after = checked(
-                m_driver.closedLoop(pacedParallel, unlimited, streamBlock, pausingWork(proxied)));
+        const Record before = checked(m_driver.closedLoop(pacedParallel, unlimited, streamBlock,
+                                                          pausingWork(directCall)));
+        const Record after = checked(m_driver.closedLoop(pacedParallel, unlimited, streamBlock,
+                                                         pausingWork(daemonCall)));
         firstToken.add(before.m_firstToken, after.m_firstToken);
     }
     firstToken.print();
@@ -362,14 +365,14 @@
 void Bench::stampedStreams()
 {
     const std::string body = chatBody("stamped", stampedEvents);
-    const Call straight = direct({m_settings.m_stamped}, chatTarget, body);
-    const Call proxied = through("chat", chatTarget, body);
+    const Call directCall = direct({m_settings.m_stamped}, chatTarget, body);
+    const Call daemonCall = through("chat", chatTarget, body);
     Comparison event("streamed event, half of the slots");
     for (int repetition = 0; repetition < m_settings.m_repetitions; ++repetition) {
         const Record before = checked(m_driver.closedLoop(stampedSlots / 2, unlimited, streamBlock,
-                                                          streamWork(straight, true)));
+                                                          streamWork(directCall, true)));
         const Record after = checked(m_driver.closedLoop(stampedSlots / 2, unlimited, streamBlock,
-                                                         streamWork(proxied, true)));
+                                                         streamWork(daemonCall, true)));
         event.add(before.m_event, after.m_event);
     }
     event.print();
@@ -378,8 +381,8 @@
 void Bench::throughput()
 {
     const std::string body = chatBody("fast", fastTokens);
-    const Call straight = direct(m_settings.m_fast, chatTarget, body);
-    const Call proxied = through("chat", chatTarget, body);
+    const Call directCall = direct(m_settings.m_fast, chatTarget, body);
+    const Call daemonCall = through("chat", chatTarget, body);
     Row alone("events direct");
     Row wall("events through");
     Row traffic("events per second of the traffic thread");
@@ -388,15 +391,15 @@
     for (int repetition = 0; repetition < m_settings.m_repetitions; ++repetition) {
         const auto directBegin = nanosNow();
         const Record before = checked(m_driver.closedLoop(fastParallel, unlimited, throughputBlock,
-                                                          streamWork(straight)));
+                                                          streamWork(directCall)));
         alone.add(static_cast<double>(before.m_events) * 1e6 / microsSince(directBegin));
         const double trafficBefore = metric("gypsumdale_traffic_processor_milliseconds_total");
         const double controlBefore = metric("gypsumdale_control_processor_milliseconds_total");
         const auto begin = nanosNow();
-        const Record after = checked(
-                m_driver.closedLoop(fastParallel, unlimited, throughputBlock, streamWork(proxied)));
+        const Record after = checked(m_driver.closedLoop(fastParallel, unlimited, throughputBlock,
+                                                         streamWork(daemonCall)));
         const double micros = microsSince(begin);
-        // The control thread's figure is set anew every so often.
+        // The metric of the control thread is updated only at intervals.
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         const double trafficMillis =
                 metric("gypsumdale_traffic_processor_milliseconds_total") - trafficBefore;
