--- a/include/gypsumdale/entry/entry_traffic.hpp
+++ b/include/gypsumdale/entry/entry_traffic.hpp
@@ -41,8 +41,8 @@
     /// Requests in flight at each service over all VMs.
     std::map<ServiceId, double> m_running;
     /// Prompt reading rates as measured by this VM, and of the whole fleet.
-    std::map<ServiceId, PrefillRate> m_ownReading;
-    std::map<ServiceId, PrefillRate> m_fleetReading;
+    std::map<ServiceId, PrefillRate> m_ownPrefill;
+    std::map<ServiceId, PrefillRate> m_fleetPrefill;
     WallMillis m_wall = 0;
 };
 
@@ -114,7 +114,7 @@
     bool shouldWaitForStartup() const { return m_startupKnowledge.shouldWaitForStartup(now()); }
     void setUpstreams(const std::map<UpstreamId, UpstreamRecord> &upstreams, std::int64_t revision);
     /// Sets what is known of the age of the list in use, and how long a list remains valid.
-    void setListStanding(const ListConfirmation &list, const PlacementDeadline &deadline);
+    void setListConfirmation(const ListConfirmation &list, const PlacementDeadline &deadline);
     Duration listAge() const { return now() - m_listConfirmation.m_confirmedAt; }
     /// Returns the placement deadline of a request placed now, or nothing if the list is too old
     /// for placements. Complexity: constant.
@@ -213,7 +213,7 @@
     bool m_isSpreadOut = false;
     FirstEventForecaster m_forecaster;
     /// As of the last report.
-    std::map<ServiceId, PrefillRate> m_fleetReading;
+    std::map<ServiceId, PrefillRate> m_fleetPrefill;
     FleetQuota m_quota;
     RetryBudgetShare m_retryBudget;
     UsageCounts m_usage;
--- a/include/gypsumdale/entry/upstream_list_sync.hpp
+++ b/include/gypsumdale/entry/upstream_list_sync.hpp
@@ -36,7 +36,7 @@
 enum class ReadFailure {
     Unanswered,
     /// The store has dropped its history of changes since the revision.
-    HistoryGone,
+    HistoryDropped,
 };
 
 /// Decides how a VM follows the upstreams' entries: when it reads the store itself, how long such a
--- a/src/entry/entry_duties.cpp
+++ b/src/entry/entry_duties.cpp
@@ -255,8 +255,8 @@
     input.m_upstreams = &m_upstreams.upstreams();
     const auto running = m_peers.report().m_running.find(service.m_id);
     input.m_running = running == m_peers.report().m_running.end() ? 0 : running->second;
-    const auto reading = m_peers.report().m_fleetReading.find(service.m_id);
-    if (reading != m_peers.report().m_fleetReading.end())
+    const auto reading = m_peers.report().m_fleetPrefill.find(service.m_id);
+    if (reading != m_peers.report().m_fleetPrefill.end())
         input.m_reading = reading->second;
     const TimePoint now = m_context.now();
     for (const ScaleOrder &order : m_planner.plan(input, now)) {
--- a/src/entry/entry_traffic.cpp
+++ b/src/entry/entry_traffic.cpp
@@ -87,7 +87,8 @@
     m_mover->scheduleMoves();
 }
 
-void EntryTraffic::setListStanding(const ListConfirmation &list, const PlacementDeadline &deadline)
+void EntryTraffic::setListConfirmation(const ListConfirmation &list,
+                                       const PlacementDeadline &deadline)
 {
     m_listConfirmation = list;
     m_listConfirmation.m_isUnconfirmable =
@@ -144,9 +145,9 @@
     result.m_accounts = m_quota.localUsage(now());
     result.m_usage = m_usage.own();
     result.m_endedUsage = m_usage.ended(now());
-    result.m_ownReading = m_prefillRates.ownRates(now());
-    m_fleetReading = m_prefillRates.fleetRates(now());
-    result.m_fleetReading = m_fleetReading;
+    result.m_ownPrefill = m_prefillRates.ownRates(now());
+    m_fleetPrefill = m_prefillRates.fleetRates(now());
+    result.m_fleetPrefill = m_fleetPrefill;
     for (const auto &[id, upstream] : m_pool.upstreams()) {
         if (upstream->m_own.m_running > 0)
             result.m_loads[id] = loadOf(*upstream);
@@ -173,8 +174,8 @@
 
 double EntryTraffic::tokensWithin(const ServiceId &service, Duration time) const
 {
-    const auto found = m_fleetReading.find(service);
-    const double speed = found == m_fleetReading.end() ? 0 : found->second.m_speed;
+    const auto found = m_fleetPrefill.find(service);
+    const double speed = found == m_fleetPrefill.end() ? 0 : found->second.m_speed;
     return speed * toSeconds(time);
 }
 
--- a/src/entry/entry_upstream_feed.cpp
+++ b/src/entry/entry_upstream_feed.cpp
@@ -67,7 +67,7 @@
     if (!succeeded(changes)) {
         const bool isHistoryGone = errorOf(changes).m_id == ErrorId::PlatformRefused;
         noteFailed(errorOf(changes),
-                   isHistoryGone ? ReadFailure::HistoryGone : ReadFailure::Unanswered);
+                   isHistoryGone ? ReadFailure::HistoryDropped : ReadFailure::Unanswered);
         return;
     }
     const TimePoint now = m_context.now();
@@ -187,7 +187,7 @@
 {
     const PlacementDeadline deadline(m_context.m_settings.m_bounds.m_leavingApply);
     m_context.m_trafficLoop.spawn([this, deadline, confirmation = m_listSync.standing()] {
-        m_context.m_traffic.setListStanding(confirmation, deadline);
+        m_context.m_traffic.setListConfirmation(confirmation, deadline);
     });
 }
 
--- a/src/entry/peer_wire.cpp
+++ b/src/entry/peer_wire.cpp
@@ -57,7 +57,7 @@
     }
     for (const auto &[upstream, load] : report.m_loads)
         digest.loads.push_back(encodeLoad(upstream, load));
-    for (const auto &[service, rate] : report.m_ownReading) {
+    for (const auto &[service, rate] : report.m_ownPrefill) {
         // Requests of services without engines have no prompt to read. A peer takes missing entries
         // as 0.
         if (rate.m_demand == 0 && rate.m_speed == 0)
--- a/src/entry/upstream_list_sync.cpp
+++ b/src/entry/upstream_list_sync.cpp
@@ -129,7 +129,7 @@
 {
     m_feed.onStoreUnavailable();
     m_isStoreLost = true;
-    m_isHistoryGone = failure == ReadFailure::HistoryGone;
+    m_isHistoryGone = failure == ReadFailure::HistoryDropped;
     if (m_isHistoryGone)
         m_refusedRevision = m_feed.revision();
 }
--- a/tests/src/unit-entry-peers.cpp
+++ b/tests/src/unit-entry-peers.cpp
@@ -461,7 +461,7 @@
     TrafficReport report;
     report.m_accounts[huber] = {120, 3.5};
     report.m_loads[engine] = {3, 4000, 77};
-    report.m_ownReading[llm] = {5000, 62000};
+    report.m_ownPrefill[llm] = {5000, 62000};
     for (WindowNumber window = 1; window <= 6; ++window)
         report.m_usage[window][huber] = window * 10;
     entrywire::EntryDigest digest;
@@ -486,7 +486,7 @@
     }
     SECTION("without reading rates of services that read nothing")
     {
-        report.m_ownReading = {{ServiceId("plain"), {0, 0}},
+        report.m_ownPrefill = {{ServiceId("plain"), {0, 0}},
                                {ServiceId("asked"), {800, 0}},
                                {ServiceId("seen"), {0, 62000}}};
         entrywire::EntryDigest other;
--- a/tests/src/unit-entry-upstream-following.cpp
+++ b/tests/src/unit-entry-upstream-following.cpp
@@ -92,7 +92,7 @@
     Vm vm(GENERATE(StoreRole::Reader, StoreRole::Follower, StoreRole::Alone));
     vm.m_following.applyListing(listAt(10), vm.m_now, vm.m_now);
     vm.m_now += 2s;
-    vm.m_following.noteFailed(ReadFailure::HistoryGone);
+    vm.m_following.noteFailed(ReadFailure::HistoryDropped);
     REQUIRE(vm.isNext<ListStep>());
 
     SECTION("a reader tells of the revision that was refused")
@@ -137,7 +137,7 @@
 
     SECTION("and read whole without a pause where the store refuses its changes")
     {
-        vm.m_following.noteFailed(ReadFailure::HistoryGone);
+        vm.m_following.noteFailed(ReadFailure::HistoryDropped);
         CHECK(vm.m_following.delayAfterRead(vm.m_now) == 0ms);
         vm.m_following.noteFailed(ReadFailure::Unanswered);
         CHECK(vm.m_following.delayAfterRead(vm.m_now) > 0ms);
@@ -215,7 +215,7 @@
 
     SECTION("not by a store that has dropped the history")
     {
-        vm.m_following.noteFailed(ReadFailure::HistoryGone);
+        vm.m_following.noteFailed(ReadFailure::HistoryDropped);
         CHECK_FALSE(vm.m_following.standing().m_isUnconfirmable);
     }
 }
--- a/tests/support/upstream_news_world.hpp
+++ b/tests/support/upstream_news_world.hpp
@@ -179,7 +179,7 @@
         later(vm, way, [this, &vm, call, isHistoryGone, list, changes] {
             vm.m_breaker.onAnswered();
             if (isHistoryGone)
-                return failed(vm, ReadFailure::HistoryGone);
+                return failed(vm, ReadFailure::HistoryDropped);
             const TimePoint now = m_agenda.now();
             const WatchTimes times{call.m_sentAt, call.m_wait, now};
             if (call.m_revision)
