--- a/include/gypsumdale/runtime/http_client.hpp
+++ b/include/gypsumdale/runtime/http_client.hpp
@@ -2,7 +2,7 @@
 
 #include <gypsumdale/core/clock.hpp>
 #include <gypsumdale/core/result.hpp>
-#include <gypsumdale/runtime/call_term.hpp>
+#include <gypsumdale/runtime/delivery_deadline.hpp>
 #include <gypsumdale/runtime/fiber_loop.hpp>
 #include <gypsumdale/runtime/http_message.hpp>
 
@@ -40,7 +40,7 @@
 enum class SendPhase {
     NothingSent,
     MayHaveBeenRead,
-    AnswerBegun,
+    AnswerStarted,
 };
 
 /// Reason why a call has no complete answer.
@@ -50,7 +50,7 @@
     SendPhase m_phase = SendPhase::NothingSent;
     /// Bytes of the request that the other side had not acknowledged when its delivery deadline
     /// passed.
-    std::size_t m_unacknowledged = 0;
+    std::size_t m_unacknowledgedBytes = 0;
 };
 
 template <typename T>
@@ -88,18 +88,18 @@
     Duration m_silenceTimeout = std::chrono::seconds(30);
     /// Opens a new connection instead of taking a pooled one, which may have failed silently while
     /// it was idle. Required for requests that must not run twice.
-    bool m_freshConnection = false;
+    bool m_requiresNewConnection = false;
     /// Closes the connection after the answer instead of returning it to the pool.
-    bool m_closeAfter = false;
+    bool m_closeAfterAnswer = false;
     /// Accepts an answer with neither a length nor chunks as complete if its connection was closed
     /// in order; one whose connection was reset is truncated all the same. Only for callers that
     /// can recognise a complete answer by other means, or whose upstreams reset the connection when
     /// they abort an answer.
-    bool m_acceptsUnframed = false;
+    bool m_acceptsCloseDelimited = false;
     /// Cancels the call from another fiber; may be null.
     std::shared_ptr<CallCancellation> m_cancellation;
     /// Delivery deadline of the request; null if there is none.
-    std::shared_ptr<CallTerm> m_term;
+    std::shared_ptr<DeliveryDeadline> m_term;
     /// Size limit of the answer of HttpClient::call(), which buffers it completely; open() passes
     /// pieces on and has no limit.
     std::size_t m_maxBodyBytes = std::size_t{8} * 1024 * 1024;
--- a/include/gypsumdale/runtime/http_server.hpp
+++ b/include/gypsumdale/runtime/http_server.hpp
@@ -46,7 +46,7 @@
     /// Returns whether the caller is known to have closed its connection. A caller that shut down
     /// its sending side counts as gone: HTTP callers do not shut down one direction only, and
     /// waiting for a reset would let work continue for nobody. Complexity: constant.
-    virtual bool callerGone() const = 0;
+    virtual bool isCallerGone() const = 0;
 
     /// Registers an action that runs on the loop's thread when the caller closes its connection
     /// before the answer is finished, or at once if it already has. Used to cancel work upstream.
@@ -109,7 +109,7 @@
 
     /// Closes the connections whose answer is not finished; their handlers see that the caller is
     /// gone. Safe from any thread.
-    void cutAnswers();
+    void abortAnswers();
 
     /// Returns whether a connection is open or may still be accepted. The latter holds until
     /// stopAccepting() has taken effect and the connections that the kernel had completed by then
--- a/include/gypsumdale/wire/peer_codec.hpp
+++ b/include/gypsumdale/wire/peer_codec.hpp
@@ -28,8 +28,8 @@
 
 /// Returns whether a request proves the credential and was created within `skewMillis` of wallNow.
 /// Compares in constant time.
-bool isProofGood(std::string_view credential, const PeerRequest &request, WallMillis wallNow,
-                 std::int64_t skewMillis);
+bool isProofValid(std::string_view credential, const PeerRequest &request, WallMillis wallNow,
+                  std::int64_t skewMillis);
 
 /// Converts between the values of the decision logic and their form on the wire. An enumeration
 /// value that is unknown to the receiver becomes the most conservative one. Complexity: linear in
--- a/src/ctl/admin_client.cpp
+++ b/src/ctl/admin_client.cpp
@@ -58,7 +58,7 @@
     request.m_connectTimeout = connectTimeout;
     request.m_headerTimeout = answerTimeout;
     request.m_silenceTimeout = answerTimeout;
-    request.m_freshConnection = call.m_resend == Resend::IfUnread;
+    request.m_requiresNewConnection = call.m_resend == Resend::IfUnread;
     request.m_headers.add("Authorization", "Bearer " + m_credential);
     return m_transport(request);
 }
--- a/src/entry/entry_call.cpp
+++ b/src/entry/entry_call.cpp
@@ -129,9 +129,9 @@
     // A kept-alive connection may be dead without notice, may deliver a late answer to another
     // request, or may close during this one, which then may or may not have run. A new connection
     // has none of these faults.
-    call.m_freshConnection = true;
-    call.m_closeAfter = true;
-    call.m_acceptsUnframed = true;
+    call.m_requiresNewConnection = true;
+    call.m_closeAfterAnswer = true;
+    call.m_acceptsCloseDelimited = true;
     call.m_cancellation = m_cancellation;
     return call;
 }
@@ -312,7 +312,7 @@
              {LogField::ErrorName, errorName(failure.m_error.m_id)},
              {LogField::Text, failure.m_error.m_text},
              {LogField::Reason, exceededLimit(failure)},
-             {LogField::UnacknowledgedBytes, failure.m_unacknowledged},
+             {LogField::UnacknowledgedBytes, failure.m_unacknowledgedBytes},
              {LogField::Outcome,
               failure.m_phase == SendPhase::NothingSent ? "not-run" : "may-have-run"}});
 }
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -349,7 +349,7 @@
             return;
         // Connections whose caller has not received its answer by now are closed, and the log says
         // whose answer that was. One whose request is still arriving may yet be refused.
-        m_callerServer->cutAnswers();
+        m_callerServer->abortAnswers();
         awaitNoCallers(m_clock.now() + lastLinesTimeout);
     }
 
--- a/src/entry/placement_call_deadline.hpp
+++ b/src/entry/placement_call_deadline.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <gypsumdale/entry/entry_traffic.hpp>
-#include <gypsumdale/runtime/call_term.hpp>
+#include <gypsumdale/runtime/delivery_deadline.hpp>
 #include <gypsumdale/serving/placement_deadline.hpp>
 
 #include <algorithm> // min
@@ -14,7 +14,7 @@
 
 /// Placement deadline of one HTTP call: the request may reach the selected upstream only as long as
 /// the list in use is valid for that upstream.
-class PlacementCallDeadline : public CallTerm
+class PlacementCallDeadline : public DeliveryDeadline
 {
 public:
     PlacementCallDeadline(const EntryTraffic &traffic, TimePoint until, DeadlineRenewal renewal)
@@ -32,7 +32,7 @@
         m_until = std::min(until(), m_traffic.now() + PlacementDeadline::deliveryMargin);
         m_isRenewed = false;
         m_isLeaving = true;
-        noteShortened();
+        notifyShortened();
     }
 
     Duration left() const override { return until() - m_traffic.now(); }
--- a/src/fleet/peer_codec.cpp
+++ b/src/fleet/peer_codec.cpp
@@ -159,8 +159,8 @@
     return {reinterpret_cast<const char *>(digest.data()), size};
 }
 
-bool isProofGood(std::string_view credential, const PeerRequest &request, WallMillis wallNow,
-                 std::int64_t skewMillis)
+bool isProofValid(std::string_view credential, const PeerRequest &request, WallMillis wallNow,
+                  std::int64_t skewMillis)
 {
     if (credential.empty())
         return true;
--- a/src/kernel/engine_call.cpp
+++ b/src/kernel/engine_call.cpp
@@ -58,7 +58,7 @@
 {
     const int status = exchange.status();
     EngineFailure failure;
-    failure.m_phase = SendPhase::AnswerBegun;
+    failure.m_phase = SendPhase::AnswerStarted;
     failure.m_isRefusedBeforeStart =
             status == statusUnavailable && exchange.headers().value("X-Not-Run") == "1";
     failure.m_isPermanent = status >= firstClientError && status < firstServerError
@@ -121,7 +121,7 @@
 
 EngineFailure EngineCall::failed(Error error) const
 {
-    return {std::move(error), SendPhase::AnswerBegun};
+    return {std::move(error), SendPhase::AnswerStarted};
 }
 
 void EngineCall::cancel()
--- a/src/kernel/fleet_driver.cpp
+++ b/src/kernel/fleet_driver.cpp
@@ -225,7 +225,7 @@
     call.m_silenceTimeout = probeTimeout;
     // A pooled connection may be permanently silent while the upstream is healthy, and the reverse;
     // only a new connection shows whether new requests would get through.
-    call.m_freshConnection = true;
+    call.m_requiresNewConnection = true;
     const auto result = m_context.m_http.call(call);
     if (const auto *failure = std::get_if<CallFailure>(&result)) {
         run(m_exchange.onProbeFailed(command.m_upstream, failure->m_error.m_text, m_context.now()));
--- a/src/kernel/peer_link.cpp
+++ b/src/kernel/peer_link.cpp
@@ -54,8 +54,8 @@
     wire::PeerReply reply;
     reply.sender = m_self.text();
     reply.incarnation = m_incarnation;
-    const bool isProved = wire::isProofGood(m_credential, valueOf(request), m_clock.wallNow(),
-                                            maxClockSkewMillis);
+    const bool isProved = wire::isProofValid(m_credential, valueOf(request), m_clock.wallNow(),
+                                             maxClockSkewMillis);
     m_refusedFrames += isProved ? 0 : 1;
     reply.body = isProved ? handler(NodeId(valueOf(request).sender), valueOf(request))
                           : refusal({ErrorId::PeerRefused,
--- a/src/kernel/plain_call.cpp
+++ b/src/kernel/plain_call.cpp
@@ -207,7 +207,7 @@
     call.m_silenceTimeout = silence;
     // A pooled connection may have died while idle, and what is written to it may be read later or
     // never. Only with a new connection does a failed connect prove that nothing ran.
-    call.m_freshConnection = isAtMostOnce();
+    call.m_requiresNewConnection = isAtMostOnce();
     auto result = m_traffic.current().m_client.call(call);
     if (const auto *failure = std::get_if<CallFailure>(&result)) {
         AttemptResult attemptResult;
--- a/src/runtime/detail/term_watch.cpp
+++ b/src/runtime/detail/deadline_watch.cpp
@@ -1,10 +1,10 @@
-#include <runtime/detail/term_watch.hpp>
+#include <runtime/detail/deadline_watch.hpp>
 
 #include <utility> // move
 
 namespace gypsumdale {
 
-void CallTerm::noteShortened()
+void DeliveryDeadline::notifyShortened()
 {
     // The callback may unregister itself, so a copy is called.
     if (const std::function<void()> onShortened = m_onShortened)
@@ -13,27 +13,28 @@
 
 namespace detail {
 
-TermWatch::TermWatch(LoopCore &core, std::shared_ptr<CallTerm> term, std::shared_ptr<Stream> stream)
+DeadlineWatch::DeadlineWatch(LoopCore &core, std::shared_ptr<DeliveryDeadline> term,
+                             std::shared_ptr<Stream> stream)
     : m_term(std::move(term))
     , m_stream(std::move(stream))
     , m_timer(core.m_context)
 {}
 
-TermWatch::~TermWatch()
+DeadlineWatch::~DeadlineWatch()
 {
     end();
 }
 
-void TermWatch::begin()
+void DeadlineWatch::begin()
 {
     m_term->m_onShortened = [weak = weak_from_this()] {
-        if (const std::shared_ptr<TermWatch> self = weak.lock())
+        if (const std::shared_ptr<DeadlineWatch> self = weak.lock())
             self->checkDeadline();
     };
     scheduleCheck(m_term->left());
 }
 
-void TermWatch::end()
+void DeadlineWatch::end()
 {
     if (!m_term)
         return;
@@ -42,24 +43,24 @@
     m_timer.cancel();
 }
 
-void TermWatch::scheduleCheck(Duration time)
+void DeadlineWatch::scheduleCheck(Duration time)
 {
     m_timer.expires_after(time);
     m_timer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         if (error)
             return;
-        if (const std::shared_ptr<TermWatch> self = weak.lock())
+        if (const std::shared_ptr<DeadlineWatch> self = weak.lock())
             self->checkDeadline();
     });
 }
 
 /// Returns whether the other side has received the whole request, or this is unknown.
-bool TermWatch::hasArrived() const
+bool DeadlineWatch::hasArrived() const
 {
     return m_isWritten && m_stream->unacknowledged().value_or(0) == 0;
 }
 
-void TermWatch::checkDeadline()
+void DeadlineWatch::checkDeadline()
 {
     if (!m_term)
         return;
@@ -73,7 +74,7 @@
         return;
     }
     m_hasAborted = true;
-    m_unacknowledged = m_stream->unacknowledged().value_or(0);
+    m_unacknowledgedBytes = m_stream->unacknowledged().value_or(0);
     end();
     m_stream->close();
 }
--- a/src/runtime/detail/http_connection.hpp
+++ b/src/runtime/detail/http_connection.hpp
@@ -68,7 +68,7 @@
         m_callerGone = true;
         m_stream->close();
     }
-    bool callerGone() const override { return m_callerGone; }
+    bool isCallerGone() const override { return m_callerGone; }
     void onCallerGone(std::function<void()> action) override;
 
 private:
--- a/src/runtime/http_client.cpp
+++ b/src/runtime/http_client.cpp
@@ -1,10 +1,10 @@
 #include <gypsumdale/runtime/http_client.hpp>
 
 #include <runtime/detail/connection_pool.hpp>
+#include <runtime/detail/deadline_watch.hpp>
 #include <runtime/detail/message_parser.hpp>
 #include <runtime/detail/message_writer.hpp>
 #include <runtime/detail/stream.hpp>
-#include <runtime/detail/term_watch.hpp>
 
 #include <array> // array
 #include <utility> // exchange, move
@@ -90,14 +90,14 @@
     std::weak_ptr<detail::ConnectionPool> m_pool;
     std::unique_ptr<Parser> m_parser;
     /// Null if the call has no delivery deadline.
-    std::shared_ptr<detail::TermWatch> m_watch;
+    std::shared_ptr<detail::DeadlineWatch> m_watch;
     Duration m_silenceTimeout;
     SendPhase m_phase = SendPhase::NothingSent;
     /// Number of bytes of the request that were not written to the kernel.
     std::size_t m_unsent = 0;
     bool m_isHead;
-    bool m_closeAfter;
-    bool m_acceptsUnframed;
+    bool m_closeAfterAnswer;
+    bool m_acceptsCloseDelimited;
     bool m_finished = false;
     bool m_cancelled = false;
     /// The first failure, which every later read returns again.
@@ -111,13 +111,13 @@
     , m_pool(pool)
     , m_silenceTimeout(call.m_silenceTimeout)
     , m_isHead(call.m_method == "HEAD")
-    , m_closeAfter(call.m_closeAfter)
-    , m_acceptsUnframed(call.m_acceptsUnframed)
+    , m_closeAfterAnswer(call.m_closeAfterAnswer)
+    , m_acceptsCloseDelimited(call.m_acceptsCloseDelimited)
 {
     m_stream->resetOnClose(true);
     if (call.m_term)
-        m_watch = std::make_shared<detail::TermWatch>(*detail::LoopCore::current(), call.m_term,
-                                                      m_stream);
+        m_watch = std::make_shared<detail::DeadlineWatch>(*detail::LoopCore::current(), call.m_term,
+                                                          m_stream);
 }
 
 /// Closes the connection unless the message has ended, so that the connection's next request can't
@@ -152,7 +152,7 @@
         // An upstream may answer before it has read a long body, and stop reading. Waiting for it
         // to read the rest would last for the whole timeout although the answer is already there.
         if (!m_stream->isIdleAndOpen()) {
-            m_closeAfter = true;
+            m_closeAfterAnswer = true;
             return std::nullopt;
         }
     }
@@ -171,7 +171,7 @@
                 const StreamStatus status = m_stream->fill(deadline);
                 if (status != StreamStatus::Good)
                     return fail(status);
-                m_phase = SendPhase::AnswerBegun;
+                m_phase = SendPhase::AnswerStarted;
                 if (m_watch)
                     m_watch->end();
             }
@@ -218,13 +218,13 @@
 /// Returns whether the end of the connection is the proper end of the answer.
 bool HttpExchange::State::endsByClose(StreamStatus status)
 {
-    if (status != StreamStatus::Ended || !m_acceptsUnframed || !m_parser->need_eof())
+    if (status != StreamStatus::Ended || !m_acceptsCloseDelimited || !m_parser->need_eof())
         return false;
     boost::beast::error_code error;
     m_parser->put_eof(error);
     if (error)
         return false;
-    m_closeAfter = true;
+    m_closeAfterAnswer = true;
     finish();
     return true;
 }
@@ -245,7 +245,7 @@
         return fail(ErrorId::Cancelled, "cancelled");
     if (status == StreamStatus::TimedOut)
         return fail(ErrorId::UpstreamSilent, "no answer in time");
-    if (m_phase == SendPhase::AnswerBegun)
+    if (m_phase == SendPhase::AnswerStarted)
         return fail(ErrorId::AnswerTruncated, "the connection closed during the answer");
     return fail(ErrorId::ConnectionClosed, "the connection closed before the answer");
 }
@@ -256,7 +256,7 @@
     CallFailure failed =
             fail(ErrorId::TermOver,
                  fmt::format("the delivery deadline passed with {} bytes unacknowledged", bytes));
-    failed.m_unacknowledged = bytes;
+    failed.m_unacknowledgedBytes = bytes;
     m_failure = failed;
     return failed;
 }
@@ -279,7 +279,7 @@
     m_stream->resetOnClose(false);
     const std::shared_ptr<detail::ConnectionPool> pool = m_pool.lock();
     const bool isReusable = m_parser->keep_alive() && m_stream->input().size() == 0;
-    if (pool && isReusable && !m_cancelled && !m_closeAfter)
+    if (pool && isReusable && !m_cancelled && !m_closeAfterAnswer)
         pool->release(m_endpoint, m_stream);
     else
         m_stream->close();
@@ -362,7 +362,7 @@
     if (error)
         return connectFailure(call.m_endpoint, StreamStatus::Broken);
     attach(call, stream);
-    CallTerm *term = call.m_term.get();
+    DeliveryDeadline *term = call.m_term.get();
     if (term) {
         term->m_onShortened = [term, weak = std::weak_ptr<Stream>(stream)] {
             const std::shared_ptr<Stream> open = weak.lock();
@@ -392,7 +392,7 @@
     if (call.m_cancellation && call.m_cancellation->isCancelled())
         return connectFailure(call.m_endpoint, StreamStatus::Closed);
     std::shared_ptr<Stream> stream;
-    if (!call.m_freshConnection)
+    if (!call.m_requiresNewConnection)
         stream = state->m_pool->acquire(call.m_endpoint);
     const detail::SteadyTime beganAt = std::chrono::steady_clock::now();
     if (!stream) {
@@ -430,7 +430,7 @@
         if (!text)
             return reply;
         if (reply.m_body.size() + text->size() > call.m_maxBodyBytes)
-            return failure(SendPhase::AnswerBegun, ErrorId::UpstreamFailed, call.m_endpoint,
+            return failure(SendPhase::AnswerStarted, ErrorId::UpstreamFailed, call.m_endpoint,
                            "the answer is too large");
         if (reply.m_body.empty())
             reply.m_body = std::move(*text);
--- a/src/runtime/http_server.cpp
+++ b/src/runtime/http_server.cpp
@@ -106,7 +106,7 @@
     m_state->onEachConnection([](detail::HttpConnection &connection) { connection.closeIfIdle(); });
 }
 
-void HttpServer::cutAnswers()
+void HttpServer::abortAnswers()
 {
     m_state->onEachConnection([](detail::HttpConnection &connection) {
         if (connection.isAnswering())
--- a/standins/buffered_responder.hpp
+++ b/standins/buffered_responder.hpp
@@ -32,7 +32,7 @@
         m_complete = true;
         return !m_callerGone;
     }
-    bool callerGone() const override { return m_callerGone; }
+    bool isCallerGone() const override { return m_callerGone; }
     void onCallerGone(std::function<void()> action) override
     {
         m_callerGoneAction = std::move(action);
--- a/standins/cloud_server.cpp
+++ b/standins/cloud_server.cpp
@@ -202,7 +202,8 @@
     {
         std::unique_lock lock(m_mutex);
         m_noticeAdded.wait_for(lock, std::min(longestPoll, fromMillis(millis)), [&] {
-            return m_cloud.lastNotice() > after || responder.callerGone() || !m_lifetime.isAlive();
+            return m_cloud.lastNotice() > after || responder.isCallerGone()
+                   || !m_lifetime.isAlive();
         });
     }
     responder.onCallerGone(nullptr);
@@ -263,7 +264,7 @@
     call.m_method = "POST";
     call.m_target = "/admin/die";
     call.m_headerTimeout = std::chrono::seconds(1);
-    call.m_freshConnection = true;
+    call.m_requiresNewConnection = true;
     // The VM may stop before it answers, so the result is ignored.
     static_cast<void>(m_client.call(call));
 }
--- a/standins/engine_server.cpp
+++ b/standins/engine_server.cpp
@@ -168,10 +168,10 @@
     responder.onCallerGone([this] { m_slotFreed.notify_all(); });
     std::unique_lock lock(m_mutex);
     m_slotFreed.wait(lock, [&] {
-        return m_engine.isAdmitted(id) || responder.callerGone() || !m_lifetime.isAlive();
+        return m_engine.isAdmitted(id) || responder.isCallerGone() || !m_lifetime.isAlive();
     });
     responder.onCallerGone(nullptr);
-    return m_engine.isAdmitted(id) && m_lifetime.isAlive() && !responder.callerGone();
+    return m_engine.isAdmitted(id) && m_lifetime.isAlive() && !responder.isCallerGone();
 }
 
 void EngineServer::stream(Stream &stream, HttpResponder &responder)
--- a/standins/lifetime.cpp
+++ b/standins/lifetime.cpp
@@ -14,20 +14,20 @@
 bool Lifetime::wait(Duration duration, const HttpResponder &responder) const
 {
     while (duration > Duration::zero()) {
-        if (!isAlive() || responder.callerGone())
+        if (!isAlive() || responder.isCallerGone())
             return false;
         const Duration part = std::min(duration, waitStep);
         sleepFiber(part);
         duration -= part;
     }
-    return isAlive() && !responder.callerGone();
+    return isAlive() && !responder.isCallerGone();
 }
 
 void Lifetime::waitUntilGone(const HttpResponder &responder) const
 {
     Duration left = longestHang;
     while (left > Duration::zero()) {
-        if (state() == LifeState::Stopped || responder.callerGone())
+        if (state() == LifeState::Stopped || responder.isCallerGone())
             return;
         sleepFiber(waitStep);
         left -= waitStep;
--- a/standins/platform_server.cpp
+++ b/standins/platform_server.cpp
@@ -295,7 +295,7 @@
     const auto ready = [&] {
         const WatchOutcome outcome = m_store.changes(target.m_kind, after);
         const auto *events = std::get_if<std::vector<ObjectEvent>>(&outcome);
-        return events == nullptr || !events->empty() || responder.callerGone()
+        return events == nullptr || !events->empty() || responder.isCallerGone()
                || !m_lifetime.isAlive();
     };
     responder.onCallerGone([this] { m_changed.notify_all(); });
--- a/tests/src/unit-ctl.cpp
+++ b/tests/src/unit-ctl.cpp
@@ -269,7 +269,7 @@
         REQUIRE(bench.m_calls.size() == 1);
         CHECK(bench.m_calls[0].m_target == "/admin/v1/config/profile/phone?version=12");
         CHECK(bench.m_calls[0].m_body == profileBody);
-        CHECK(bench.m_calls[0].m_freshConnection);
+        CHECK(bench.m_calls[0].m_requiresNewConnection);
         CHECK(bench.m_out == "profile/phone applied as version 13\n");
     }
 
--- a/tests/src/unit-entry-upstream-client.cpp
+++ b/tests/src/unit-entry-upstream-client.cpp
@@ -30,7 +30,7 @@
     call.m_endpoint = {"127.0.0.1", port};
     call.m_method = "POST";
     call.m_body = "body";
-    call.m_freshConnection = true;
+    call.m_requiresNewConnection = true;
     return call;
 }
 
--- a/tests/src/unit-http-term.cpp
+++ b/tests/src/unit-http-term.cpp
@@ -106,8 +106,8 @@
         call.m_endpoint = {"127.0.0.1", m_proxy.port()};
         call.m_method = "POST";
         call.m_body = "three pairs of size 39";
-        call.m_freshConnection = true;
-        call.m_closeAfter = true;
+        call.m_requiresNewConnection = true;
+        call.m_closeAfterAnswer = true;
         return call;
     }
 
@@ -133,7 +133,7 @@
 
 /// A delivery deadline that starts when the first byte may be sent, and that a test moves on the
 /// loop's thread.
-class MovableTerm : public CallTerm
+class MovableTerm : public DeliveryDeadline
 {
 public:
     explicit MovableTerm(Duration time)
@@ -153,7 +153,7 @@
     void endNow()
     {
         m_until = std::chrono::steady_clock::now();
-        noteShortened();
+        notifyShortened();
     }
 
     Duration m_time;
@@ -207,8 +207,8 @@
         call.m_endpoint = {"127.0.0.1", m_acceptor.local_endpoint().port()};
         call.m_method = "POST";
         call.m_body.assign(bodySize, 'x');
-        call.m_freshConnection = true;
-        call.m_closeAfter = true;
+        call.m_requiresNewConnection = true;
+        call.m_closeAfterAnswer = true;
         return call;
     }
 
@@ -361,7 +361,7 @@
         const CallFailure failed = failureOf(future.get());
         REQUIRE(failed.m_error.m_id == ErrorId::TermOver);
         REQUIRE(failed.m_phase == SendPhase::MayHaveBeenRead);
-        REQUIRE(failed.m_unacknowledged > 0);
+        REQUIRE(failed.m_unacknowledgedBytes > 0);
         REQUIRE(server.readToEnd() < size);
     }
 
--- a/tests/src/unit-http.cpp
+++ b/tests/src/unit-http.cpp
@@ -173,7 +173,7 @@
     SECTION("a fresh connection is opened where one is asked for")
     {
         REQUIRE(isWhole(loop.call([&] { return client.call(call); })));
-        call.m_freshConnection = true;
+        call.m_requiresNewConnection = true;
         REQUIRE(isWhole(loop.call([&] { return client.call(call); })));
         REQUIRE(server.connections() == 2);
     }
@@ -236,7 +236,7 @@
         const auto [text, failed] = loop.call(readBoth);
         REQUIRE(text == "second");
         REQUIRE(failed->m_error.m_id == ErrorId::AnswerTruncated);
-        REQUIRE(failed->m_phase == SendPhase::AnswerBegun);
+        REQUIRE(failed->m_phase == SendPhase::AnswerStarted);
     }
 }
 
@@ -265,7 +265,7 @@
     const auto [text, failed] = result.get();
     REQUIRE(text == "half");
     REQUIRE(failed->m_error.m_id == ErrorId::AnswerTruncated);
-    REQUIRE(failed->m_phase == SendPhase::AnswerBegun);
+    REQUIRE(failed->m_phase == SendPhase::AnswerStarted);
 }
 
 TEST_CASE("a failed call says how far the request got")
@@ -411,7 +411,7 @@
         responder.onCallerGone([&] { gone.set_value(); });
         responder.begin(200, {});
         gone.get_future().wait();
-        noticed.set_value(responder.callerGone() && !responder.write("late"));
+        noticed.set_value(responder.isCallerGone() && !responder.write("late"));
     });
     RawPeer caller = network.connect(server.port());
     // Bytes of a further request don't hide the close that follows them.
--- a/tests/src/unit-membership.cpp
+++ b/tests/src/unit-membership.cpp
@@ -351,9 +351,9 @@
     request.sender = "banos-1";
     request.sentAtMillis = 1000;
     request.proof = wire::makeProof("credential", request);
-    CHECK(wire::isProofGood("credential", request, 1500, 1000));
-    CHECK_FALSE(wire::isProofGood("other", request, 1500, 1000));
-    CHECK_FALSE(wire::isProofGood("credential", request, 2500, 1000));
+    CHECK(wire::isProofValid("credential", request, 1500, 1000));
+    CHECK_FALSE(wire::isProofValid("other", request, 1500, 1000));
+    CHECK_FALSE(wire::isProofValid("credential", request, 2500, 1000));
     request.sender = "banos-2";
-    CHECK_FALSE(wire::isProofGood("credential", request, 1500, 1000));
+    CHECK_FALSE(wire::isProofValid("credential", request, 1500, 1000));
 }
--- a/tests/support/entry_world.hpp
+++ b/tests/support/entry_world.hpp
@@ -212,7 +212,7 @@
             call.m_headers.add("Gypsumdale-Token-Usage", tokenUsage);
         call.m_headers.add("Authorization", "Bearer " + key);
         call.m_body = body;
-        call.m_freshConnection = !usesRetained;
+        call.m_requiresNewConnection = !usesRetained;
         call.m_headerTimeout = entryHangGuard;
         call.m_silenceTimeout = entryHangGuard;
         return m_loop.call([&] { return read(call); });
@@ -224,7 +224,7 @@
         HttpCall call;
         call.m_endpoint = {"127.0.0.1", port};
         call.m_target = target;
-        call.m_freshConnection = true;
+        call.m_requiresNewConnection = true;
         return m_loop.call([&] { return read(call); });
     }
 
--- a/tests/support/process_fleet.hpp
+++ b/tests/support/process_fleet.hpp
@@ -48,7 +48,7 @@
 struct Answer
 {
     int m_status = 0;
-    SendPhase m_phase = SendPhase::AnswerBegun;
+    SendPhase m_phase = SendPhase::AnswerStarted;
     HttpHeaders m_headers;
     std::string m_body;
 
@@ -329,7 +329,7 @@
         call.m_body = std::move(body);
         call.m_headerTimeout = hangGuard;
         call.m_silenceTimeout = hangGuard;
-        call.m_freshConnection = true;
+        call.m_requiresNewConnection = true;
         return call;
     }
 
