--- a/tests/src/fuzz-entry-request-way-troubles.cpp
+++ b/tests/src/fuzz-entry-request-way-troubles.cpp
@@ -1,4 +1,4 @@
-#include "support/request_way_plays.hpp"
+#include "support/request_delivery_checks.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -11,7 +11,7 @@
 // Guards against late requests from VMs that use the lists of peers, or whose answers are lost.
 TEST_CASE("a leaving upstream gets no late request in all troubles at once")
 {
-    checkWay(allNewsTroubles());
+    checkDelivery(allSimulatedFaults());
 }
 
 // Guards against a link whose queue grows between the connection and the first byte.
@@ -20,7 +20,7 @@
     constexpr std::array<std::uint64_t, 3> seeds = {125, 167229452944, 536196023723};
     for (const std::uint64_t seed : seeds) {
         CAPTURE(seed);
-        CHECK(playWay(smallNewsFleet, allNewsTroubles(), seed).m_requests == 0);
+        CHECK(simulateDelivery(smallNewsFleet, allSimulatedFaults(), seed).m_requests == 0);
     }
 }
 
@@ -31,9 +31,9 @@
     for (const auto &[seed, isQuiet] :
          std::map<std::uint64_t, bool>{{90657115, true}, {6371847, false}, {166828, false}}) {
         CAPTURE(seed);
-        NewsTroubles troubles;
+        SimulatedFaults troubles;
         troubles.m_isQuiet = isQuiet;
-        CHECK(playWay(smallNewsFleet, troubles, seed).m_requests == 0);
+        CHECK(simulateDelivery(smallNewsFleet, troubles, seed).m_requests == 0);
     }
 }
 
@@ -44,7 +44,7 @@
                                                     400024,        401618, 402032};
     for (const std::uint64_t seed : seeds) {
         CAPTURE(seed);
-        CHECK(playWay(smallNewsFleet, allNewsTroubles(), seed).m_requests == 0);
+        CHECK(simulateDelivery(smallNewsFleet, allSimulatedFaults(), seed).m_requests == 0);
     }
 }
 
@@ -54,6 +54,6 @@
     constexpr std::array<std::uint64_t, 3> seeds = {300095, 301446, 301580};
     for (const std::uint64_t seed : seeds) {
         CAPTURE(seed);
-        CHECK(playWay(smallNewsFleet, allNewsTroubles(), seed).m_requests == 0);
+        CHECK(simulateDelivery(smallNewsFleet, allSimulatedFaults(), seed).m_requests == 0);
     }
 }
--- a/tests/src/fuzz-entry-request-way.cpp
+++ b/tests/src/fuzz-entry-request-way.cpp
@@ -1,4 +1,4 @@
-#include "support/request_way_plays.hpp"
+#include "support/request_delivery_checks.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -8,5 +8,5 @@
 // left.
 TEST_CASE("a leaving upstream gets no late request though paths fall silent and links fill")
 {
-    checkWay({});
+    checkDelivery({});
 }
--- a/tests/src/fuzz-entry-upstream-news.cpp
+++ b/tests/src/fuzz-entry-upstream-news.cpp
@@ -1,5 +1,5 @@
-#include "support/news_plays.hpp"
-#include "support/upstream_news_world.hpp"
+#include "support/simulated_fleets.hpp"
+#include "support/upstream_list_simulation.hpp"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -14,16 +14,16 @@
 
 namespace {
 
-int play(const NewsFleet &fleet, const NewsTroubles &troubles, std::uint64_t seed)
+int play(const SimulatedFleet &fleet, const SimulatedFaults &troubles, std::uint64_t seed)
 {
-    UpstreamNewsWorld world(fleet.m_vms, fleet.m_dataCentres, fleet.m_bound, troubles, seed);
+    UpstreamListSimulation world(fleet.m_vms, fleet.m_dataCentres, fleet.m_bound, troubles, seed);
     return world.play(60s);
 }
 
 /// A recorded simulation run in which a VM was late.
 struct KeptPlay
 {
-    NewsFleet m_fleet;
+    SimulatedFleet m_fleet;
     bool m_isQuiet = false;
     std::uint64_t m_seed = 0;
 };
@@ -40,9 +40,9 @@
         {hugeNewsFleet, true, 262299407},
 }};
 
-void checkFleets(NewsTroubles troubles)
+void checkFleets(SimulatedFaults troubles)
 {
-    for (const NewsFleet &fleet : newsFleets) {
+    for (const SimulatedFleet &fleet : newsFleets) {
         INFO(fleet.m_vms << " VMs");
         REQUIRE(rc::check([&fleet, troubles](std::uint32_t seed) {
             RC_ASSERT(play(fleet, troubles, seed) == 0);
@@ -56,7 +56,7 @@
 // although the message that confirmed it was delayed for a long time.
 TEST_CASE("a leaving upstream is left alone in time though readers are slow")
 {
-    NewsTroubles troubles;
+    SimulatedFaults troubles;
     troubles.m_slowest = 3s;
     troubles.m_hasSlow = true;
     troubles.m_isQuiet = GENERATE(false, true);
@@ -67,7 +67,7 @@
 // limit.
 TEST_CASE("a leaving upstream is left alone in time in all troubles at once")
 {
-    NewsTroubles troubles = allNewsTroubles();
+    SimulatedFaults troubles = allSimulatedFaults();
     troubles.m_isQuiet = GENERATE(false, true);
     checkFleets(troubles);
 }
@@ -78,7 +78,7 @@
 {
     for (const KeptPlay &kept : keptPlays) {
         CAPTURE(kept.m_fleet.m_vms, kept.m_isQuiet, kept.m_seed);
-        NewsTroubles troubles = allNewsTroubles();
+        SimulatedFaults troubles = allSimulatedFaults();
         troubles.m_isQuiet = kept.m_isQuiet;
         CHECK(play(kept.m_fleet, troubles, kept.m_seed) == 0);
     }
@@ -88,7 +88,7 @@
 // history.
 TEST_CASE("a leaving upstream is left alone in time though the store drops its history")
 {
-    NewsTroubles troubles;
+    SimulatedFaults troubles;
     troubles.m_hasKilled = true;
     troubles.m_hasTurnedAway = true;
     troubles.m_hasDropped = true;
--- a/tests/src/fuzz-order-lease-pauses.cpp
+++ b/tests/src/fuzz-order-lease-pauses.cpp
@@ -7,5 +7,5 @@
 // Guards against an order that is delayed beyond the longest pause and reverts a newer one.
 TEST_CASE("one orderer under faults in any order and pauses without a bound")
 {
-    REQUIRE(playOrders(HoldUps::Unbounded));
+    REQUIRE(simulateOrders(OrderDelays::Unbounded));
 }
--- a/tests/src/fuzz-order-lease.cpp
+++ b/tests/src/fuzz-order-lease.cpp
@@ -6,11 +6,11 @@
 
 TEST_CASE("one orderer under faults in any order")
 {
-    const auto orders = playOrders(HoldUps::Bounded);
+    const auto orders = simulateOrders(OrderDelays::Bounded);
     REQUIRE(orders);
     // Enough orders must succeed despite the faults to make the check by the engine meaningful.
     CHECK(*orders > 1000);
-    OrderWorld undisturbed(HoldUps::Bounded);
+    OrderWorld undisturbed(OrderDelays::Bounded);
     undisturbed.heal();
     CHECK(undisturbed.isConverged());
 }
--- a/tests/src/process-entry-caller.cpp
+++ b/tests/src/process-entry-caller.cpp
@@ -68,6 +68,6 @@
     caller.write(requestOf("/once/x", "1.1"));
     world.waitUntil("it has ended", [&] { return world.node().m_process->exited(); });
     CHECK(caller.readToEnd().size() < longerThanBuffers);
-    const std::string log = world.wholeLog(world.node());
+    const std::string log = world.fullLog(world.node());
     CHECK(log.find("\"event\":\"request-failed\"") != std::string::npos);
 }
--- a/tests/src/process-entry-leaving-running.cpp
+++ b/tests/src/process-entry-leaving-running.cpp
@@ -27,7 +27,7 @@
             });
     world.store().remove("servers", world.upstream(1).id());
     world.waitUntil("only one upstream is known", [&] {
-        return world.wholeLog(world.node()).find("upstream-left") != std::string::npos;
+        return world.fullLog(world.node()).find("upstream-left") != std::string::npos;
     });
     EntryAnswer answer;
     std::thread caller(
@@ -36,8 +36,9 @@
 
     world.announce(world.upstream(1), "ready");
     const std::int64_t left = world.announce(world.upstream(0), "draining");
-    world.waitUntil("it is known",
-                    [&] { return world.store().upstreamsTakenIn(world.node().m_name) >= left; });
+    world.waitUntil("it is known", [&] {
+        return world.store().receivedUpstreamRevision(world.node().m_name) >= left;
+    });
     std::this_thread::sleep_for(2 * leavingApply);
     mayAnswer = true;
     caller.join();
--- a/tests/src/process-entry-leaving.cpp
+++ b/tests/src/process-entry-leaving.cpp
@@ -31,7 +31,7 @@
 {
     world.store().remove("servers", world.upstream(1).id());
     world.waitUntil("only one upstream is known", [&] {
-        return world.wholeLog(world.node()).find("upstream-left") != std::string::npos;
+        return world.fullLog(world.node()).find("upstream-left") != std::string::npos;
     });
 }
 
@@ -47,7 +47,7 @@
 
 /// Returns whether an answer correctly reports the outcome of a request that the first upstream has
 /// not run.
-bool isHonest(const EntryAnswer &answer)
+bool isCorrectOutcome(const EntryAnswer &answer)
 {
     const bool isOthers = answer.m_status == 200 && answer.m_body == "from u-2";
     const bool mayHaveRun = answer.m_status == 502 || answer.m_status == 504;
@@ -73,8 +73,9 @@
 
     world.announce(world.upstream(1), "ready");
     const std::int64_t left = world.announce(world.upstream(0), "draining");
-    world.waitUntil("it is known",
-                    [&] { return world.store().upstreamsTakenIn(world.node().m_name) >= left; });
+    world.waitUntil("it is known", [&] {
+        return world.store().receivedUpstreamRevision(world.node().m_name) >= left;
+    });
     againCaller.join();
     onceCaller.join();
     std::this_thread::sleep_for(2 * leavingApply);
@@ -82,8 +83,8 @@
 
     CHECK_FALSE(isSeen(world.upstream(0), "r-again"));
     CHECK_FALSE(isSeen(world.upstream(0), "r-once"));
-    CHECK(isHonest(again));
-    CHECK(isHonest(once));
+    CHECK(isCorrectOutcome(again));
+    CHECK(isCorrectOutcome(once));
 }
 
 // Guards against the same while the callers of such requests still wait when the path heals.
@@ -103,7 +104,7 @@
     caller.join();
 
     CHECK_FALSE(isSeen(world.upstream(0), "r-once"));
-    CHECK(isHonest(once));
+    CHECK(isCorrectOutcome(once));
 }
 
 // Guards against requests that run after their caller was told that the deadline has passed.
--- a/tests/src/process-entry-soak.cpp
+++ b/tests/src/process-entry-soak.cpp
@@ -256,7 +256,7 @@
 };
 
 /// Disturbs one link after the other, in addition to what happens to processes.
-void harmLinks(Soak &soak, const std::vector<FaultProxy *> &links, std::uint64_t stream)
+void disturbLinks(Soak &soak, const std::vector<FaultProxy *> &links, std::uint64_t stream)
 {
     constexpr std::array faults = {LinkFault::Delay, LinkFault::CutToTarget,
                                    LinkFault::CutFromTarget, LinkFault::Silence, LinkFault::Reset};
@@ -295,7 +295,7 @@
 }
 
 /// Separates all VMs from each other now and then, long enough for them to notice.
-void partVms(Soak &soak)
+void separateVms(Soak &soak)
 {
     constexpr std::array faults = {LinkFault::Silence, LinkFault::Reset, LinkFault::CutFromTarget};
     pcg32 random(soak.m_seed, 4);
@@ -319,7 +319,7 @@
     request.m_isStream = route.m_isStream;
     request.m_isLimited = caller < limitedCallers;
     request.m_whole = wholeAnswer(id, route.m_isStream);
-    request.m_takenIn = soak.m_world.store().upstreamsTakenIn(node.m_name);
+    request.m_takenIn = soak.m_world.store().receivedUpstreamRevision(node.m_name);
     request.m_kills = soak.m_kills.at(index);
     request.m_sentAt = std::chrono::steady_clock::now();
     const char *key = request.m_isLimited ? EntryWorld::limitedKey : "key";
@@ -347,7 +347,7 @@
 
 /// Waits until a VM sends nothing to an upstream that leaves. What it still sends meanwhile is
 /// allowed, as it may not have received the report yet.
-void waitUntilLeftAlone(Soak &soak, std::size_t node, std::size_t upstream)
+void waitUntilUnused(Soak &soak, std::size_t node, std::size_t upstream)
 {
     constexpr int enough = 12;
     soak.m_world.waitUntil("a leaving upstream is left alone", [&] {
@@ -394,9 +394,9 @@
     std::vector<std::thread> threads;
     for (std::size_t caller = 0; caller < callerCount; ++caller)
         threads.emplace_back([&, caller] { callUntilOver(soak, caller); });
-    threads.emplace_back([&] { harmLinks(soak, outerLinks(world), 2); });
-    threads.emplace_back([&] { harmLinks(soak, peerLinks(world), 3); });
-    threads.emplace_back([&] { partVms(soak); });
+    threads.emplace_back([&] { disturbLinks(soak, outerLinks(world), 2); });
+    threads.emplace_back([&] { disturbLinks(soak, peerLinks(world), 3); });
+    threads.emplace_back([&] { separateVms(soak); });
     for (std::size_t number = 1; number < disturberCount; ++number) {
         threads.emplace_back([&, number] {
             Disturber disturber(soak, number);
@@ -433,13 +433,13 @@
     world.node(0).m_storeLink->set(LinkFault::Silence);
     announce(soak, 0, true);
     for (std::size_t node = 0; node < world.nodeCount(); ++node)
-        waitUntilLeftAlone(soak, node, 0);
+        waitUntilUnused(soak, node, 0);
     announce(soak, 0, false);
     world.node(0).m_storeLink->set(LinkFault::None);
     setAll(peerLinks(world), LinkFault::Silence);
     announce(soak, 1, true);
     for (std::size_t node = 0; node < world.nodeCount(); ++node)
-        waitUntilLeftAlone(soak, node, 1);
+        waitUntilUnused(soak, node, 1);
     announce(soak, 1, false);
     soak.m_ledger.check();
 }
--- a/tests/src/process-entry-stop.cpp
+++ b/tests/src/process-entry-stop.cpp
@@ -49,7 +49,7 @@
 }
 
 /// Keeps the upstreams from answering before the process has stopped.
-void answerNever(EntryWorld &world)
+void answerAfterStop(EntryWorld &world)
 {
     world.behave([](const HttpRequest &, HttpResponder &, const HttpHeaders &) {
         sleepFiber(std::chrono::seconds(20));
@@ -139,14 +139,14 @@
 }
 
 /// A caller that reuses its connection looks for another VM after this many requests.
-constexpr int mostOnOneConnection = 40;
+constexpr int maxRequestsPerConnection = 40;
 
 /// Sends one request after the other on one connection, as long as it is kept.
 void callOften(const EntryWorld::EntryNode &node, SentRequests &sent, pcg32 &random)
 {
     RawCaller caller;
     bool isOpen = caller.connect(node.m_callerPort);
-    for (int number = 0; isOpen && number < mostOnOneConnection; ++number) {
+    for (int number = 0; isOpen && number < maxRequestsPerConnection; ++number) {
         pause(random(60));
         const std::string id = sent.nextId();
         caller.write(requestOf("/again/x", id));
@@ -209,7 +209,7 @@
 TEST_CASE("requests under way at the end of the grace time get an answer")
 {
     EntryWorld world;
-    answerNever(world);
+    answerAfterStop(world);
     stopAndWaitUntilNotReady(world);
     // The routes' timeout is 5 s and the grace time 6 s: sent now, the requests outlast the grace
     // time.
@@ -247,7 +247,7 @@
     }
     waitUntilEnded(world);
     // The request is found in the log by its id.
-    const std::string log = world.wholeLog(world.node());
+    const std::string log = world.fullLog(world.node());
     CHECK(log.find("\"event\":\"request-failed\"") != std::string::npos);
     CHECK(log.find("\"request\":\"r-1\"") != std::string::npos);
 }
@@ -358,7 +358,7 @@
 {
     EntryWorld world;
     world.store().delayRemovals(std::chrono::seconds(20));
-    answerNever(world);
+    answerAfterStop(world);
     stopAndWaitUntilNotReady(world);
     // The routes' timeout is 5 s and the grace time 6 s: sent now, the request outlasts the grace
     // time.
@@ -370,13 +370,13 @@
     // The process now leaves the registry. The platform's signal comes at the end of the grace
     // time, before that is done: the line must be there while the process still runs.
     world.waitUntil("it says why the stop ended", [&] {
-        return world.wholeLog(world.node()).find("\"event\":\"drained\"") != std::string::npos;
+        return world.fullLog(world.node()).find("\"event\":\"drained\"") != std::string::npos;
     });
     if (world.node().m_process->exited())
         return std::nullopt;
     world.node().m_process->send(SIGKILL);
     waitUntilEnded(world);
-    return world.wholeLog(world.node());
+    return world.fullLog(world.node());
 }
 
 } // namespace
@@ -410,11 +410,11 @@
     const std::string request = requestOf("/once/x", "r-1");
     caller.write(request.substr(0, request.size() - 1));
     world.waitUntil("the grace time is over", [&] {
-        return world.wholeLog(world.node()).find("\"event\":\"drained\"") != std::string::npos;
+        return world.fullLog(world.node()).find("\"event\":\"drained\"") != std::string::npos;
     });
     caller.write(request.substr(request.size() - 1));
     CHECK(caller.readToEnd().starts_with("HTTP/1.1 503"));
     CHECK_FALSE(isSeen(world, "r-1"));
     waitUntilEnded(world);
-    CHECK(world.wholeLog(world.node()).find("\"outcome\":\"stopping\"") != std::string::npos);
+    CHECK(world.fullLog(world.node()).find("\"outcome\":\"stopping\"") != std::string::npos);
 }
--- a/tests/src/process-entry.cpp
+++ b/tests/src/process-entry.cpp
@@ -150,7 +150,7 @@
         CHECK(answer.m_status == 502);
         CHECK(runs(world) == 1);
         world.waitUntil("the log says so", [&] {
-            const std::string log = world.wholeLog(world.node());
+            const std::string log = world.fullLog(world.node());
             return log.find("\"outcome\":\"outcome-unknown\"") != std::string::npos;
         });
     }
@@ -215,7 +215,7 @@
     for (std::thread &caller : callers)
         caller.join();
     world.waitUntil("it is logged", [&] {
-        return world.wholeLog(world.node()).find("no-room-in-time") != std::string::npos;
+        return world.fullLog(world.node()).find("no-room-in-time") != std::string::npos;
     });
 }
 
@@ -384,11 +384,11 @@
     const auto count = [&](const std::string &text) {
         std::size_t found = 0;
         for (std::size_t node = 0; node < nodes; ++node)
-            found += world.wholeLog(world.node(node)).find(text) != std::string::npos ? 1 : 0;
+            found += world.fullLog(world.node(node)).find(text) != std::string::npos ? 1 : 0;
         return found;
     };
     const auto isReader = [&](std::size_t node) {
-        const std::string log = world.wholeLog(world.node(node));
+        const std::string log = world.fullLog(world.node(node));
         const std::size_t last = log.rfind("store-role");
         return last != std::string::npos && log.find("reader", last) != std::string::npos;
     };
@@ -461,7 +461,7 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(1000));
     }
     const auto isLogged = [&](std::string_view event) {
-        return world.wholeLog(world.node()).find(event) != std::string::npos;
+        return world.fullLog(world.node()).find(event) != std::string::npos;
     };
     world.waitUntil("its end is logged", [&] {
         return isLogged("\"event\":\"request-done\"") || isLogged("\"event\":\"request-failed\"");
@@ -520,10 +520,9 @@
         return answer.m_status != 0;
     });
     const std::string learned = "\"event\":\"upstream-changed\"";
-    world.waitUntil("it says what it knows", [&] {
-        return world.wholeLog(world.node()).find(learned) != std::string::npos;
-    });
-    const std::string log = world.wholeLog(world.node());
+    world.waitUntil("it says what it knows",
+                    [&] { return world.fullLog(world.node()).find(learned) != std::string::npos; });
+    const std::string log = world.fullLog(world.node());
     INFO(log);
     // On a machine so busy that this takes longer than a caller is kept, the caller may be refused.
     const double untilLearned = lastTimeOf(log, learned) - lastTimeOf(log, "\"event\":\"started\"");
--- a/tests/src/process-once.cpp
+++ b/tests/src/process-once.cpp
@@ -144,7 +144,7 @@
     entry.m_process->send(SIGCONT);
     for (std::size_t number = 0; number < keys.size(); ++number)
         said[keys[number]].push_back(firsts[number].get().outcome());
-    fleet.waitWhole(entry);
+    fleet.waitUntilComplete(entry);
 
     for (const std::string &key : keys) {
         std::string last;
--- a/tests/src/process-shutdown.cpp
+++ b/tests/src/process-shutdown.cpp
@@ -100,7 +100,7 @@
         fleet.waitUntil(node.m_name + " ended", [&] { return node.m_process->exited(); });
         REQUIRE(node.m_process->exitStatus() == 0);
         fleet.start(node);
-        fleet.waitWhole(node);
+        fleet.waitUntilComplete(node);
     }
     isOver = true;
 
--- a/tests/src/unit-job-outage.cpp
+++ b/tests/src/unit-job-outage.cpp
@@ -42,7 +42,7 @@
     const std::size_t job = *world.offer(k_owner, "roper");
     world.settle();
     REQUIRE(world.jobs()[job].m_isAccepted);
-    world.setReach(k_owner, false);
+    world.setReachable(k_owner, false);
     world.generate(k_owner, JobWorld::k_answerTokens);
     world.settle();
     return job;
@@ -58,14 +58,14 @@
     while (early.size() < jobs)
         early.push_back({*world.offer(k_owner, "roper")});
     world.settle();
-    world.setReach(k_owner, false);
+    world.setReachable(k_owner, false);
     world.generate(k_owner, JobWorld::k_answerTokens);
     world.settle();
     for (JobWorld::Caller &caller : early) {
         CHECK(world.poll(caller, k_owner) == "");
         CHECK(caller.m_isProvisional);
     }
-    world.setReach(cutOff, false);
+    world.setReachable(cutOff, false);
     world.pause(k_owner);
     world.suspect(k_owner);
     world.settle(k_takeoverSteps);
@@ -75,8 +75,8 @@
         late.push_back({caller.m_job});
     for (JobWorld::Caller &caller : late)
         readThrough(world, caller, cutOff == k_other ? k_third : k_other);
-    world.setReach(k_owner, true);
-    world.setReach(cutOff, true);
+    world.setReachable(k_owner, true);
+    world.setReachable(cutOff, true);
     world.resume(k_owner);
     world.settle(k_takeoverSteps);
     finishAll(world);
@@ -105,7 +105,7 @@
     CHECK(early.m_isProvisional);
     CHECK_FALSE(early.m_isWhole);
 
-    world.setReach(k_owner, true);
+    world.setReachable(k_owner, true);
     world.settle();
     CHECK(world.poll(early, k_owner) == "");
     CHECK(early.m_isWhole);
@@ -215,7 +215,7 @@
     JobWorld world({"a", "a", "b", "b"});
     constexpr int k_longUp = 120;
     world.settle(k_longUp);
-    world.setReach(k_owner, false);
+    world.setReachable(k_owner, false);
     const std::size_t job = *world.offer(k_owner, "roper");
     world.settle();
     REQUIRE(world.jobs()[job].m_isAccepted);
--- a/tests/support/entry_stand_ins.hpp
+++ b/tests/support/entry_stand_ins.hpp
@@ -61,13 +61,13 @@
 
     /// Returns the revision up to which a VM has received the upstreams: the one from which it has
     /// asked for changes.
-    std::int64_t upstreamsTakenIn(const std::string &node)
+    std::int64_t receivedUpstreamRevision(const std::string &node)
     {
         const std::lock_guard lock(m_mutex);
         return m_takenIn[node];
     }
     /// Clears the revision that a VM has received, for a process that starts.
-    void forgetTakenIn(const std::string &node)
+    void clearReceivedRevision(const std::string &node)
     {
         const std::lock_guard lock(m_mutex);
         m_takenIn[node] = 0;
@@ -162,7 +162,7 @@
         send(responder, 200, {{"items", items}, {"has-more", false}, {"current-rev", m_revision}});
     }
 
-    void noteTakenIn(const std::string &node, std::int64_t revision)
+    void recordReceivedRevision(const std::string &node, std::int64_t revision)
     {
         const std::lock_guard lock(m_mutex);
         m_takenIn[node] = std::max(m_takenIn[node], revision);
@@ -173,7 +173,7 @@
     {
         const std::int64_t since = std::stoll(*request.parameter("watch"));
         if (kind == "servers")
-            noteTakenIn(node, since);
+            recordReceivedRevision(node, since);
         const int wait = std::stoi(request.parameter("wait-ms").value_or("0"));
         Json events = Json::array();
         for (int waited = 0; events.empty() && waited <= wait && !m_refuses; waited += 10) {
--- a/tests/support/entry_world.hpp
+++ b/tests/support/entry_world.hpp
@@ -244,7 +244,7 @@
     }
 
     /// Returns everything that a process has logged, for conditions on lines that may be long past.
-    std::string wholeLog(const EntryNode &node) const
+    std::string fullLog(const EntryNode &node) const
     {
         std::ifstream file((m_folder / (node.m_name + ".log")).string());
         return {std::istreambuf_iterator<char>(file), {}};
@@ -263,7 +263,7 @@
         std::ofstream(settings) << settingsOf(node);
         if (node.m_storeLink)
             node.m_storeLink->resetAll();
-        m_store->forgetTakenIn(node.m_name);
+        m_store->clearReceivedRevision(node.m_name);
         node.m_process =
                 std::make_unique<ChildProcess>(std::string(programs) + "/gypsumdaled",
                                                std::vector<std::string>{"--entry", settings},
@@ -309,10 +309,10 @@
                            node.m_name, node.m_callerPort, node.m_readyPort, node.m_peerPort,
                            peerPortOf(node), node.m_metricsPort,
                            node.m_storeLink ? node.m_storeLink->port() : m_store->port(), seeds,
-                           node.m_process == nullptr, leavingBound());
+                           node.m_process == nullptr, leavingTimeoutSetting());
     }
 
-    std::string leavingBound() const
+    std::string leavingTimeoutSetting() const
     {
         return m_leavingApply ? fmt::format("  leaving-apply: {}ms\n", m_leavingApply->count())
                               : std::string();
--- a/tests/support/agenda.hpp
+++ b/tests/support/event_queue.hpp
@@ -12,7 +12,7 @@
 namespace gypsumdale::testing {
 
 /// Queue of actions to run at later times. The clock stands still while an action runs.
-class Agenda
+class EventQueue
 {
 public:
     TimePoint now() const { return m_now; }
--- a/tests/support/job_trial.hpp
+++ b/tests/support/job_trial.hpp
@@ -140,7 +140,7 @@
             break;
         case Act::LoseReach:
         case Act::FindReach:
-            m_world.setReach(node, act == Act::FindReach);
+            m_world.setReachable(node, act == Act::FindReach);
             break;
         case Act::NoticeVm:
             m_world.notice(node, ReclaimScope::OwnVm);
@@ -185,7 +185,7 @@
     {
         m_world.setPlatform(true);
         for (std::size_t node = 0; node < m_world.nodes().size(); ++node) {
-            m_world.setReach(node, true);
+            m_world.setReachable(node, true);
             m_world.resume(node);
             if (!m_world.nodes()[node].isAlive())
                 m_world.start(node);
--- a/tests/support/job_world.hpp
+++ b/tests/support/job_world.hpp
@@ -46,7 +46,7 @@
         bool m_isSuspected = false;
         bool m_isLeaving = false;
         /// Whether this node itself can reach the platform, which may be up or not.
-        bool m_hasReach = true;
+        bool m_isReachable = true;
         int m_stepsLeft = 0;
         std::map<JobLogId, Reader> m_readers;
         std::deque<std::pair<JobLogId, std::string>> m_appends;
@@ -108,11 +108,11 @@
         Node &node = m_nodes[index];
         const NodeId name = node.m_name;
         const DataCentreId dataCentre = node.m_dataCentre;
-        const bool hasReach = node.m_hasReach;
+        const bool hasReach = node.m_isReachable;
         node = Node{};
         node.m_name = name;
         node.m_dataCentre = dataCentre;
-        node.m_hasReach = hasReach;
+        node.m_isReachable = hasReach;
         node.m_process = ProcessRef{name, ++m_incarnations};
         JobTableSettings settings;
         settings.m_self = node.m_process;
@@ -122,7 +122,7 @@
         node.m_table = std::make_unique<JobTable>(settings);
         node.m_table->onPlatformChanged(reachesPlatform(index), m_now);
         pump(index);
-        tellPeers();
+        announceToPeers();
     }
 
     /// Ends a process at once. Records on their way to the log are lost unless `written`.
@@ -185,10 +185,10 @@
     }
 
     /// Cuts one node off from the platform, or reconnects it.
-    void setReach(std::size_t index, bool hasReach)
+    void setReachable(std::size_t index, bool hasReach)
     {
         Node &node = m_nodes[index];
-        node.m_hasReach = hasReach;
+        node.m_isReachable = hasReach;
         if (!node.isRunning())
             return;
         node.m_table->onPlatformChanged(reachesPlatform(index), m_now);
@@ -335,7 +335,7 @@
             if (node.isAlive() && node.m_isLeaving && --node.m_stepsLeft <= 0)
                 crash(index, false, node.m_table->isDrained());
         }
-        tellPeers();
+        announceToPeers();
         for (std::size_t index = 0; index < m_nodes.size(); ++index) {
             if (!m_nodes[index].isRunning())
                 continue;
@@ -444,7 +444,7 @@
     bool isPlatformUp() const { return m_platformUp; }
     bool reachesPlatform(std::size_t index) const
     {
-        return m_platformUp && m_nodes[index].m_hasReach;
+        return m_platformUp && m_nodes[index].m_isReachable;
     }
 
     /// Returns the number of owners that would run the job now.
@@ -483,7 +483,7 @@
         return found == m_jobs.end() ? nullptr : &*found;
     }
 
-    void tellPeers()
+    void announceToPeers()
     {
         for (std::size_t index = 0; index < m_nodes.size(); ++index) {
             if (!m_nodes[index].isRunning())
--- a/tests/support/order_world.hpp
+++ b/tests/support/order_world.hpp
@@ -37,7 +37,7 @@
 };
 
 /// Order whose process died after it was sent.
-struct OrderUnderWay
+struct OrderInFlight
 {
     SendOrder m_order;
     TimePoint m_checkedAt;
@@ -79,7 +79,7 @@
 };
 
 /// How long an order may be delayed between its check and the engine.
-enum class HoldUps {
+enum class OrderDelays {
     /// At most for the longest pause, on which the wait of fenceForUncheckedEngine() is based.
     Bounded,
     /// For any time, by consecutive pauses.
@@ -89,7 +89,7 @@
 class OrderWorld
 {
 public:
-    explicit OrderWorld(HoldUps holdUps)
+    explicit OrderWorld(OrderDelays holdUps)
         : m_holdUps(holdUps)
     {
         for (std::size_t index = 0; index < orderNodes; ++index)
@@ -151,7 +151,7 @@
         OrderNode &node = m_nodes[index];
         if (node.m_inFlight)
             m_late.push_back(*node.m_inFlight);
-        if (node.m_heldUp && m_holdUps == HoldUps::Bounded)
+        if (node.m_heldUp && m_holdUps == OrderDelays::Bounded)
             m_underWay.push_back({*node.m_heldUp, node.m_checkedAt});
         const int life = node.m_life + 1;
         node = OrderNode{};
@@ -167,13 +167,13 @@
     /// Delivers orders that were delayed for the longest pause.
     void arriveInTime()
     {
-        if (m_holdUps == HoldUps::Unbounded)
+        if (m_holdUps == OrderDelays::Unbounded)
             return;
         for (OrderNode &node : m_nodes) {
             if (node.m_heldUp && m_now >= node.m_checkedAt + longestPause)
                 arrive(node);
         }
-        std::erase_if(m_underWay, [this](const OrderUnderWay &order) {
+        std::erase_if(m_underWay, [this](const OrderInFlight &order) {
             if (m_now < order.m_checkedAt + longestPause)
                 return false;
             m_engines.order(order.m_order);
@@ -251,18 +251,18 @@
         RC_ASSERT(holders <= 1U);
     }
 
-    HoldUps m_holdUps;
+    OrderDelays m_holdUps;
     MemoryLeasePlatform m_platform;
     OrderedEngines m_engines;
     OrderNode m_nodes[orderNodes];
     TimePoint m_now{std::chrono::hours(1)};
     std::deque<LeaseCommand> m_late;
-    std::vector<OrderUnderWay> m_underWay;
+    std::vector<OrderInFlight> m_underWay;
 };
 
 /// Simulates faults in any order. Returns how many orders reached the engine that ignores fence
 /// numbers, or nothing if one of an older orderer arrived after one of a newer orderer.
-inline std::optional<std::size_t> playOrders(HoldUps holdUps)
+inline std::optional<std::size_t> simulateOrders(OrderDelays holdUps)
 {
     constexpr std::uint32_t rounds = 40;
     constexpr int lengthening = 20;
--- a/tests/support/peer_lists.hpp
+++ b/tests/support/peer_lists.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "support/news_vm.hpp"
+#include "support/simulated_vm.hpp"
 
 #include <gypsumdale/entry/exchange_pacing.hpp>
 #include <gypsumdale/entry/message_age.hpp>
@@ -42,8 +42,8 @@
     void forget(std::size_t vm) { m_heard[vm].clear(); }
 
     /// Returns what one VM sends to another now.
-    PeerWord wordFor(const NewsVm &sender, std::size_t senderNumber, std::size_t receiverNumber,
-                     TimePoint now) const
+    PeerWord reportFor(const SimulatedVm &sender, std::size_t senderNumber,
+                       std::size_t receiverNumber, TimePoint now) const
     {
         const UpstreamListSync &following = *sender.m_following;
         PeerWord word;
@@ -66,7 +66,7 @@
     }
 
     /// Receives a report. Returns whether its list was accepted.
-    bool take(NewsVm &vm, std::size_t number, std::size_t senderNumber, const PeerWord &word,
+    bool take(SimulatedVm &vm, std::size_t number, std::size_t senderNumber, const PeerWord &word,
               TimePoint now)
     {
         Heard &heard = m_heard[number][senderNumber];
--- a/tests/support/process_fleet.hpp
+++ b/tests/support/process_fleet.hpp
@@ -262,7 +262,7 @@
     }
 
     /// Waits until a node is ready, sees all others alive and all upstreams live.
-    void waitWhole(const Node &node)
+    void waitUntilComplete(const Node &node)
     {
         const auto all = [](const nlohmann::json &list, const char *state) {
             return list.is_array() && !list.empty()
--- a/tests/support/process_fleet_settings.hpp
+++ b/tests/support/process_fleet_settings.hpp
@@ -196,7 +196,7 @@
     for (const Node &node : m_nodes) {
         waitUntil(node.m_name + " has the settings",
                   [&] { return show(node, "config")["objects"].size() == objects.size(); });
-        waitWhole(node);
+        waitUntilComplete(node);
     }
 }
 
--- a/tests/support/request_way_world.hpp
+++ b/tests/support/request_delivery_simulation.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "support/peer_lists.hpp"
-#include "support/request_way.hpp"
-#include "support/upstream_news_world.hpp"
+#include "support/request_network.hpp"
+#include "support/upstream_list_simulation.hpp"
 
 #include <gypsumdale/serving/placement_deadline.hpp>
 #include <gypsumdale/serving/upstream_pool.hpp>
@@ -20,15 +20,15 @@
 
 /// Simulation of updates about upstreams that continues to the first byte of requests at them: each
 /// VM's traffic thread, its connections and send buffers, and the paths.
-class RequestWayWorld : public UpstreamNewsWorld
+class RequestDeliverySimulation : public UpstreamListSimulation
 {
 public:
     static constexpr std::size_t playedDataCentres = 2;
 
-    RequestWayWorld(std::size_t vms, std::size_t dataCentres, Duration bound,
-                    const NewsTroubles &troubles, std::uint64_t seed)
-        : UpstreamNewsWorld(vms, dataCentres, bound, troubles, seed, playedDataCentres)
-        , m_way(agenda(), seed, [this](const WayRequest &request) { judge(request); })
+    RequestDeliverySimulation(std::size_t vms, std::size_t dataCentres, Duration bound,
+                              const SimulatedFaults &troubles, std::uint64_t seed)
+        : UpstreamListSimulation(vms, dataCentres, bound, troubles, seed, playedDataCentres)
+        , m_way(agenda(), seed, [this](const InFlightRequest &request) { judge(request); })
         , m_term(bound)
         , m_traffic(this->vms().size())
         , m_unconfirmable(this->vms().size())
@@ -36,7 +36,7 @@
     {
         for (std::size_t index = 0; index < m_traffic.size(); ++index)
             m_numbers[this->vms()[index].get()] = index;
-        agenda().after({}, [this] { harmPaths(); });
+        agenda().after({}, [this] { disturbPaths(); });
     }
 
     /// Returns how many requests of undisturbed VMs reached an upstream later after its leaving
@@ -46,7 +46,7 @@
     int arrivals() const { return m_arrivals; }
 
 protected:
-    void begun(NewsVm &vm) override
+    void begun(SimulatedVm &vm) override
     {
         trafficOf(vm) = Traffic{};
         m_unconfirmable[m_numbers[&vm]] = false;
@@ -55,13 +55,13 @@
         placeLoop(vm);
     }
 
-    void confirmed(NewsVm &vm) override
+    void confirmed(SimulatedVm &vm) override
     {
         m_unconfirmable[m_numbers[&vm]] = false;
         handOver(vm);
     }
 
-    void leftUnanswered(NewsVm &vm) override
+    void onUnanswered(SimulatedVm &vm) override
     {
         m_unconfirmable[m_numbers[&vm]] = true;
         handOver(vm);
@@ -73,7 +73,7 @@
     using Upstreams = std::map<UpstreamId, UpstreamRecord>;
 
     /// Longest time until the traffic thread has what the control thread hands over.
-    static constexpr Duration longestHandOver = std::chrono::milliseconds(200);
+    static constexpr Duration maxHandOverDelay = std::chrono::milliseconds(200);
     static constexpr Duration longestPause = std::chrono::milliseconds(600);
     static constexpr int mostConnectFailures = 4;
     /// Longest delay of the traffic thread's timers.
@@ -82,11 +82,11 @@
     /// Placed request with its delivery deadline.
     struct Placed
     {
-        std::shared_ptr<WayRequest> m_request;
+        std::shared_ptr<InFlightRequest> m_request;
         TimePoint m_until{};
         /// Its upstream is known to leave: no confirmation of the list moves the deadline any more.
         bool m_isLeaving = false;
-        bool isOver() const { return m_request->m_isTakenBack || m_request->m_hasArrived; }
+        bool isOver() const { return m_request->m_isWithdrawn || m_request->m_hasArrived; }
     };
 
     /// What a VM's traffic thread knows.
@@ -99,14 +99,14 @@
         TimePoint m_handedOverAt{};
     };
 
-    Traffic &trafficOf(const NewsVm &vm) { return m_traffic[m_numbers[&vm]]; }
+    Traffic &trafficOf(const SimulatedVm &vm) { return m_traffic[m_numbers[&vm]]; }
 
-    void handOver(NewsVm &vm)
+    void handOver(SimulatedVm &vm)
     {
         Traffic &traffic = trafficOf(vm);
         const TimePoint now = agenda().now();
         traffic.m_handedOverAt =
-                std::max(traffic.m_handedOverAt, now + m_way.draw(longestHandOver));
+                std::max(traffic.m_handedOverAt, now + m_way.draw(maxHandOverDelay));
         const auto upstreams =
                 std::make_shared<const Upstreams>(vm.m_following->feed().upstreams());
         const ListConfirmation standing{vm.m_following->confirmedAt(),
@@ -119,7 +119,7 @@
     }
 
     /// Ends the deadlines of requests whose upstream leaves or is gone.
-    void noteLeaving(NewsVm &vm, Traffic &traffic)
+    void noteLeaving(SimulatedVm &vm, Traffic &traffic)
     {
         std::erase_if(traffic.m_placed, [](const auto &placed) { return placed->isOver(); });
         for (const std::shared_ptr<Placed> &placed : traffic.m_placed) {
@@ -127,32 +127,32 @@
             const bool isThere = found != traffic.m_upstreams.end() && !found->second.m_isDraining;
             if (isThere || placed->m_isLeaving)
                 continue;
-            placed->m_until =
-                    std::min(untilOf(*placed, traffic), now() + PlacementDeadline::deliveryMargin);
+            placed->m_until = std::min(deliveryDeadlineOf(*placed, traffic),
+                                       now() + PlacementDeadline::deliveryMargin);
             placed->m_isLeaving = true;
-            takeBackAt(vm, placed, placed->m_until + longestTimerDelay);
+            cancelAt(vm, placed, placed->m_until + longestTimerDelay);
         }
     }
 
-    TimePoint untilOf(const Placed &placed, const Traffic &traffic) const
+    TimePoint deliveryDeadlineOf(const Placed &placed, const Traffic &traffic) const
     {
         return placed.m_isLeaving ? placed.m_until
                                   : m_term.renewed(placed.m_until, traffic.m_standing);
     }
 
     /// Cancels a request at a time, unless its deadline has moved by then.
-    void takeBackAt(NewsVm &vm, const std::shared_ptr<Placed> &placed, TimePoint time)
+    void cancelAt(SimulatedVm &vm, const std::shared_ptr<Placed> &placed, TimePoint time)
     {
         later(vm, time - now(), [this, &vm, placed] {
-            const TimePoint until = untilOf(*placed, trafficOf(vm));
+            const TimePoint until = deliveryDeadlineOf(*placed, trafficOf(vm));
             if (until > now() && !placed->isOver())
-                takeBackAt(vm, placed, until + longestTimerDelay);
+                cancelAt(vm, placed, until + longestTimerDelay);
             else
-                placed->m_request->m_isTakenBack = true;
+                placed->m_request->m_isWithdrawn = true;
         });
     }
 
-    void placeLoop(NewsVm &vm)
+    void placeLoop(SimulatedVm &vm)
     {
         later(vm, m_way.draw(longestPause), [this, &vm] {
             place(vm, 0);
@@ -162,7 +162,7 @@
 
     /// Sends a request to an upstream of the list, or to another if no connection is established in
     /// time.
-    void place(NewsVm &vm, int connectFailures)
+    void place(SimulatedVm &vm, int connectFailures)
     {
         const Traffic &traffic = trafficOf(vm);
         const std::optional<UpstreamId> upstream = choose(traffic.m_upstreams);
@@ -170,7 +170,7 @@
         if (!upstream || !until || connectFailures >= mostConnectFailures)
             return;
         const auto placed = std::make_shared<Placed>();
-        placed->m_request = std::make_shared<WayRequest>();
+        placed->m_request = std::make_shared<InFlightRequest>();
         placed->m_request->m_vm = m_numbers[&vm];
         placed->m_request->m_upstream = *upstream;
         placed->m_until = *until;
@@ -179,23 +179,23 @@
                                 life = vm.m_life](bool isConnected, Duration connecting) {
             if (vm.m_life != life)
                 return;
-            const TimePoint until = untilOf(*placed, trafficOf(vm));
+            const TimePoint until = deliveryDeadlineOf(*placed, trafficOf(vm));
             const bool maySend =
                     !placed->m_isLeaving && PlacementDeadline::maySend(until, connecting, now());
             if (isConnected && maySend)
                 return send(vm, placed);
-            placed->m_request->m_isTakenBack = true;
+            placed->m_request->m_isWithdrawn = true;
             place(vm, connectFailures + 1);
         };
         m_way.connect(m_numbers[&vm], *upstream, connected);
     }
 
     /// Sends a request, and cancels what has not left by its deadline.
-    void send(NewsVm &vm, const std::shared_ptr<Placed> &placed)
+    void send(SimulatedVm &vm, const std::shared_ptr<Placed> &placed)
     {
         m_way.send(placed->m_request);
-        const TimePoint until = untilOf(*placed, trafficOf(vm));
-        takeBackAt(vm, placed, until + m_way.draw(longestTimerDelay));
+        const TimePoint until = deliveryDeadlineOf(*placed, trafficOf(vm));
+        cancelAt(vm, placed, until + m_way.draw(longestTimerDelay));
     }
 
     /// Draws an upstream that isn't known to leave; half of the time the oldest, which leaves next.
@@ -220,7 +220,7 @@
                                 : ready[m_way.drawIndex(ready.size())]);
     }
 
-    void judge(const WayRequest &request)
+    void judge(const InFlightRequest &request)
     {
         ++m_arrivals;
         const auto leftAt = m_leftAt.find(request.m_upstream);
@@ -233,7 +233,7 @@
 
     /// Stops delivery on a path to an upstream or on those of a whole data centre, or fills a VM's
     /// link.
-    void harmPaths()
+    void disturbPaths()
     {
         const TimePoint now = agenda().now();
         const std::size_t struck = m_way.drawIndex(vms().size());
@@ -253,35 +253,35 @@
             m_way.slow(struck, m_way.draw(std::chrono::seconds(1)), until);
             break;
         }
-        agenda().after(m_way.draw(std::chrono::milliseconds(400)), [this] { harmPaths(); });
+        agenda().after(m_way.draw(std::chrono::milliseconds(400)), [this] { disturbPaths(); });
     }
 
     /// Exchanges reports with another VM, of any data centre, now and then.
-    void exchangeLoop(NewsVm &vm)
+    void exchangeLoop(SimulatedVm &vm)
     {
         later(vm, PeerLists::exchangeInterval, [this, &vm] {
-            NewsVm &peer = *vms()[m_way.drawIndex(vms().size())];
+            SimulatedVm &peer = *vms()[m_way.drawIndex(vms().size())];
             if (&peer != &vm)
                 exchange(vm, peer);
             exchangeLoop(vm);
         });
     }
 
-    void exchange(NewsVm &vm, NewsVm &peer)
+    void exchange(SimulatedVm &vm, SimulatedVm &peer)
     {
-        const auto word = m_peers.wordFor(vm, m_numbers[&vm], m_numbers[&peer], now());
+        const auto word = m_peers.reportFor(vm, m_numbers[&vm], m_numbers[&peer], now());
         const int life = vm.m_life;
-        later(peer, wayOf(vm) + wayOf(peer), [this, &vm, &peer, word, life] {
+        later(peer, pathDelay(vm) + pathDelay(peer), [this, &vm, &peer, word, life] {
             take(peer, vm, word);
             if (peer.m_isDead || vm.m_life != life)
                 return;
-            const auto answer = m_peers.wordFor(peer, m_numbers[&peer], m_numbers[&vm], now());
-            later(vm, wayOf(vm) + wayOf(peer),
+            const auto answer = m_peers.reportFor(peer, m_numbers[&peer], m_numbers[&vm], now());
+            later(vm, pathDelay(vm) + pathDelay(peer),
                   [this, &vm, &peer, answer] { take(vm, peer, answer); });
         });
     }
 
-    void take(NewsVm &vm, NewsVm &sender, const PeerWord &word)
+    void take(SimulatedVm &vm, SimulatedVm &sender, const PeerWord &word)
     {
         if (vm.m_isDead)
             return;
@@ -291,13 +291,13 @@
 
     TimePoint now() { return agenda().now(); }
 
-    RequestWay m_way;
+    RequestNetwork m_way;
     PlacementDeadline m_term;
     std::vector<Traffic> m_traffic;
     /// By VM, as its control thread knows it.
     std::vector<bool> m_unconfirmable;
     PeerLists m_peers;
-    std::map<const NewsVm *, std::size_t> m_numbers;
+    std::map<const SimulatedVm *, std::size_t> m_numbers;
     std::map<UpstreamId, TimePoint> m_leftAt;
     int m_arrivals = 0;
     int m_lateRequests = 0;
--- a/tests/support/request_way.hpp
+++ b/tests/support/request_network.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "support/agenda.hpp"
+#include "support/event_queue.hpp"
 
 #include <gypsumdale/serving/upstream_record.hpp>
 
@@ -18,29 +18,29 @@
 namespace gypsumdale::testing {
 
 /// Request on its path from a VM to an upstream.
-struct WayRequest
+struct InFlightRequest
 {
     /// Number of the VM.
     std::size_t m_vm = 0;
     UpstreamId m_upstream;
     /// Its sender has reset the connection: bytes that have not left are dropped.
-    bool m_isTakenBack = false;
+    bool m_isWithdrawn = false;
     bool m_hasArrived = false;
 };
 
 /// The network between VMs and upstreams, on a paused clock. Paths stop delivering and heal, and a
 /// VM's link may have a queue. Nothing is lost permanently except what its sender cancels.
-class RequestWay
+class RequestNetwork
 {
 public:
-    using Arrived = std::function<void(const WayRequest &)>;
+    using Arrived = std::function<void(const InFlightRequest &)>;
     /// Receives whether a connection was established, and how long that took.
     using Connected = std::function<void(bool, Duration)>;
 
     /// Time after which an attempt to connect is abandoned.
     static constexpr Duration connectTimeout = std::chrono::milliseconds(250);
 
-    RequestWay(Agenda &agenda, std::uint64_t seed, Arrived arrived)
+    RequestNetwork(EventQueue &agenda, std::uint64_t seed, Arrived arrived)
         : m_agenda(agenda)
         , m_random(seed, 2)
         , m_arrived(std::move(arrived))
@@ -65,8 +65,8 @@
         const auto fail = [connected] {
             connected(false, connectTimeout);
         };
-        const Duration there = wayOf(vm);
-        const Duration whole = there + wayOf(vm) / 2;
+        const Duration there = pathDelay(vm);
+        const Duration whole = there + pathDelay(vm) / 2;
         const bool isLost = isSilent(vm, upstream) || whole > connectTimeout;
         if (isLost)
             return m_agenda.after(connectTimeout, fail);
@@ -78,23 +78,23 @@
     }
 
     /// Puts a request into the send buffer, from which it leaves when the path allows.
-    void send(const std::shared_ptr<WayRequest> &request)
+    void send(const std::shared_ptr<InFlightRequest> &request)
     {
-        if (request->m_isTakenBack)
+        if (request->m_isWithdrawn)
             return;
         const TimePoint now = m_agenda.now();
         const TimePoint silentUntil = m_silentUntil[{request->m_vm, request->m_upstream}];
         if (now < silentUntil)
-            return m_agenda.after(silentUntil - now + draw(resendEvery),
+            return m_agenda.after(silentUntil - now + draw(maxResendDelay),
                                   [this, request] { send(request); });
-        m_agenda.after(wayOf(request->m_vm), [this, request] { reach(request); });
+        m_agenda.after(pathDelay(request->m_vm), [this, request] { reach(request); });
     }
 
 private:
     /// Longest time until lost data are resent, while the sender retries often.
-    static constexpr Duration resendEvery = std::chrono::milliseconds(200);
+    static constexpr Duration maxResendDelay = std::chrono::milliseconds(200);
     /// Longest one-way delay of a path with an empty queue.
-    static constexpr Duration usualWay = std::chrono::milliseconds(15);
+    static constexpr Duration maxPathDelay = std::chrono::milliseconds(15);
 
     struct Queue
     {
@@ -107,15 +107,15 @@
         return m_agenda.now() < m_silentUntil[{vm, upstream}];
     }
 
-    Duration wayOf(std::size_t vm)
+    Duration pathDelay(std::size_t vm)
     {
         const Queue &queue = m_queues[vm];
         const bool hasQueue = m_agenda.now() < queue.m_until;
-        return draw(usualWay) + (hasQueue ? queue.m_wait : Duration::zero());
+        return draw(maxPathDelay) + (hasQueue ? queue.m_wait : Duration::zero());
     }
 
     /// Delivers what has left, whatever its sender does, unless the path has stopped delivering.
-    void reach(const std::shared_ptr<WayRequest> &request)
+    void reach(const std::shared_ptr<InFlightRequest> &request)
     {
         if (isSilent(request->m_vm, request->m_upstream))
             return send(request);
@@ -123,7 +123,7 @@
         m_arrived(*request);
     }
 
-    Agenda &m_agenda;
+    EventQueue &m_agenda;
     pcg32 m_random;
     Arrived m_arrived;
     std::map<std::pair<std::size_t, UpstreamId>, TimePoint> m_silentUntil;
--- a/tests/support/news_plays.hpp
+++ b/tests/support/simulated_fleets.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "support/news_vm.hpp"
+#include "support/simulated_vm.hpp"
 
 #include <gypsumdale/core/clock.hpp>
 
@@ -11,22 +11,22 @@
 namespace gypsumdale::testing {
 
 /// Dimensions of a simulated fleet that exchanges updates about upstreams.
-struct NewsFleet
+struct SimulatedFleet
 {
     std::size_t m_vms = 0;
     std::size_t m_dataCentres = 0;
     Duration m_bound{};
 };
 
-inline constexpr NewsFleet smallNewsFleet{9, 4, std::chrono::seconds(2)};
-inline constexpr NewsFleet largeNewsFleet{65, 3, std::chrono::seconds(3)};
-inline constexpr NewsFleet hugeNewsFleet{195, 5, std::chrono::seconds(4)};
-inline constexpr std::array<NewsFleet, 3> newsFleets = {smallNewsFleet, largeNewsFleet,
-                                                        hugeNewsFleet};
+inline constexpr SimulatedFleet smallNewsFleet{9, 4, std::chrono::seconds(2)};
+inline constexpr SimulatedFleet largeNewsFleet{65, 3, std::chrono::seconds(3)};
+inline constexpr SimulatedFleet hugeNewsFleet{195, 5, std::chrono::seconds(4)};
+inline constexpr std::array<SimulatedFleet, 3> newsFleets = {smallNewsFleet, largeNewsFleet,
+                                                             hugeNewsFleet};
 
-inline NewsTroubles allNewsTroubles()
+inline SimulatedFaults allSimulatedFaults()
 {
-    NewsTroubles troubles;
+    SimulatedFaults troubles;
     troubles.m_slowest = std::chrono::seconds(3);
     troubles.m_hasSlow = true;
     troubles.m_hasTurnedAway = true;
--- a/tests/support/news_vm.hpp
+++ b/tests/support/simulated_vm.hpp
@@ -15,7 +15,7 @@
 namespace gypsumdale::testing {
 
 /// The faults of a simulation.
-struct NewsTroubles
+struct SimulatedFaults
 {
     /// Longest time that answers and messages of slow VMs take.
     Duration m_slowest{};
@@ -32,16 +32,16 @@
 };
 
 /// What a VM has sent to another one, and whether it waits for the acknowledgement.
-struct ToldNews
+struct SentUpdate
 {
     FollowerState m_state;
     bool m_isBusy = false;
 };
 
 /// Simulated VM with the decisions of its process.
-struct NewsVm
+struct SimulatedVm
 {
-    NewsVm(const EntryBounds &bounds, std::size_t dataCentre)
+    SimulatedVm(const EntryBounds &bounds, std::size_t dataCentre)
         : m_following(std::make_unique<UpstreamListSync>(bounds))
         , m_dataCentre(dataCentre)
     {}
@@ -50,9 +50,9 @@
     std::size_t m_dataCentre;
     CircuitBreaker m_breaker;
     UpdatePacing m_pace;
-    std::map<NewsVm *, ToldNews> m_told;
+    std::map<SimulatedVm *, SentUpdate> m_told;
     /// Timestamps of the other VMs' clocks, as their acknowledgements brought them.
-    std::map<NewsVm *, LastPeerTimestamp> m_marks;
+    std::map<SimulatedVm *, LastPeerTimestamp> m_marks;
     StoreRole m_role = StoreRole::Follower;
     /// Number of the current process: what an earlier one began ends with it.
     int m_life = 0;
--- a/tests/support/upstream_news_world.hpp
+++ b/tests/support/upstream_list_simulation.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "support/agenda.hpp"
-#include "support/news_vm.hpp"
+#include "support/event_queue.hpp"
+#include "support/simulated_vm.hpp"
 #include "support/upstream_store.hpp"
 
 #include <platform/store_client.hpp>
@@ -22,7 +22,7 @@
 
 /// Fleet that follows a list of upstreams, on a paused clock: store, readers, followers and peers
 /// with all their decisions. Network and timeouts are those of the processes.
-class UpstreamNewsWorld
+class UpstreamListSimulation
 {
 public:
     /// Longest time from learning that an upstream leaves until the last request reaches it: the
@@ -31,8 +31,9 @@
 
     /// `playedDataCentres` is the number of simulated data centres. Data centres send each other
     /// nothing while the store answers, so that one represents all where peers' lists are left out.
-    UpstreamNewsWorld(std::size_t vms, std::size_t dataCentres, Duration bound,
-                      NewsTroubles troubles, std::uint64_t seed, std::size_t playedDataCentres = 1)
+    UpstreamListSimulation(std::size_t vms, std::size_t dataCentres, Duration bound,
+                           SimulatedFaults troubles, std::uint64_t seed,
+                           std::size_t playedDataCentres = 1)
         : m_troubles(troubles)
         , m_random(seed)
         , m_near(std::max<std::size_t>(vms / dataCentres, 3))
@@ -40,12 +41,12 @@
     {
         m_bounds.m_leavingApply = bound;
         for (std::size_t index = 0; index < m_near * m_playedDataCentres; ++index)
-            m_vms.push_back(std::make_unique<NewsVm>(m_bounds, index / m_near));
+            m_vms.push_back(std::make_unique<SimulatedVm>(m_bounds, index / m_near));
         m_isLarge = vms > 12;
     }
-    virtual ~UpstreamNewsWorld() = default;
-    UpstreamNewsWorld(const UpstreamNewsWorld &) = delete;
-    UpstreamNewsWorld &operator=(const UpstreamNewsWorld &) = delete;
+    virtual ~UpstreamListSimulation() = default;
+    UpstreamListSimulation(const UpstreamListSimulation &) = delete;
+    UpstreamListSimulation &operator=(const UpstreamListSimulation &) = delete;
 
     /// Runs the simulation for a time. Returns how many undisturbed VMs used an upstream for longer
     /// after its leaving than the bound allows.
@@ -68,37 +69,37 @@
     static constexpr Duration settling = std::chrono::seconds(4);
 
     /// Called when the process of a VM has started.
-    virtual void begun(NewsVm & /*vm*/) {}
+    virtual void begun(SimulatedVm & /*vm*/) {}
     /// Called when a VM's list was confirmed by the store, a reader or a peer.
-    virtual void confirmed(NewsVm & /*vm*/) {}
+    virtual void confirmed(SimulatedVm & /*vm*/) {}
     /// Called when the store has left a VM's call unanswered.
-    virtual void leftUnanswered(NewsVm & /*vm*/) {}
+    virtual void onUnanswered(SimulatedVm & /*vm*/) {}
     /// Called when the store has received an upstream's report that it leaves.
     virtual void left(const UpstreamId & /*upstream*/) {}
 
     static UpstreamId idOf(std::size_t number) { return UpstreamId(std::to_string(number)); }
     /// Returns the number of the upstream that leaves next.
     std::size_t nextToLeave() const { return m_nextUpstream - upstreams; }
-    bool isUndisturbed(const NewsVm &vm) const
+    bool isUndisturbed(const SimulatedVm &vm) const
     {
         const bool isStruck = vm.m_isDead || vm.m_isSlow || vm.m_isTurnedAway;
         return !isStruck && m_agenda.now() - vm.m_troubledAt >= settling;
     }
     /// Does something later unless the process has ended by then.
-    void later(NewsVm &vm, Duration delay, std::function<void()> work)
+    void later(SimulatedVm &vm, Duration delay, std::function<void()> work)
     {
         m_agenda.after(delay, [&vm, life = vm.m_life, work = std::move(work)] {
             if (vm.m_life == life)
                 work();
         });
     }
-    Duration wayOf(const NewsVm &vm)
+    Duration pathDelay(const SimulatedVm &vm)
     {
         return draw(vm.m_isSlow ? m_troubles.m_slowest : std::chrono::milliseconds(3));
     }
-    Agenda &agenda() { return m_agenda; }
+    EventQueue &agenda() { return m_agenda; }
     const EntryBounds &bounds() const { return m_bounds; }
-    const std::vector<std::unique_ptr<NewsVm>> &vms() const { return m_vms; }
+    const std::vector<std::unique_ptr<SimulatedVm>> &vms() const { return m_vms; }
 
 private:
     static constexpr std::size_t readers = 2;
@@ -107,7 +108,7 @@
 
     Duration draw(Duration most) { return most * (m_random(1000) + 1) / 1000; }
 
-    void begin(NewsVm &vm)
+    void begin(SimulatedVm &vm)
     {
         vm.m_following = std::make_unique<UpstreamListSync>(m_bounds);
         vm.m_following->setRole(vm.m_role);
@@ -115,11 +116,11 @@
         vm.m_told.clear();
         vm.m_marks.clear();
         follow(vm);
-        tellLoop(vm);
+        sendLoop(vm);
         begun(vm);
     }
 
-    void follow(NewsVm &vm)
+    void follow(SimulatedVm &vm)
     {
         const TimePoint now = m_agenda.now();
         vm.m_following->expire(now);
@@ -134,18 +135,18 @@
     }
 
     /// Sends a call to the store; its answer, or the lack of one, follows later.
-    void ask(NewsVm &vm, const StoreCall &call)
+    void ask(SimulatedVm &vm, const StoreCall &call)
     {
         if (!vm.m_breaker.tryCall(call.m_sentAt))
             return failed(vm, ReadFailure::Unanswered);
         if (vm.m_isTurnedAway)
-            return fail(vm, call, std::min(wayOf(vm), call.m_timeout));
+            return fail(vm, call, std::min(pathDelay(vm), call.m_timeout));
         if (loses(vm))
             return fail(vm, call, call.m_timeout);
-        later(vm, wayOf(vm), [this, &vm, call] { answer(vm, call, call.m_wait); });
+        later(vm, pathDelay(vm), [this, &vm, call] { answer(vm, call, call.m_wait); });
     }
 
-    void fail(NewsVm &vm, const StoreCall &call, Duration delay)
+    void fail(SimulatedVm &vm, const StoreCall &call, Duration delay)
     {
         later(vm, call.m_sentAt + delay - m_agenda.now(), [this, &vm, call] {
             vm.m_breaker.onFailed(call.m_sentAt, m_agenda.now());
@@ -153,7 +154,7 @@
         });
     }
 
-    bool loses(NewsVm &vm)
+    bool loses(SimulatedVm &vm)
     {
         const bool isDue = m_agenda.now() - vm.m_lostAnswerAt > settling;
         if (!m_troubles.m_hasLostAnswers || !isDue || m_random(8) != 0)
@@ -163,14 +164,14 @@
     }
 
     /// Handles a call in the store: a watch waits until something changes or its time is over.
-    void answer(NewsVm &vm, const StoreCall &call, Duration wait)
+    void answer(SimulatedVm &vm, const StoreCall &call, Duration wait)
     {
         const UpstreamList &list = m_store.list();
         const bool isHistoryGone = call.m_revision && !m_store.hasSince(*call.m_revision);
         const bool isQuiet = !isHistoryGone && call.m_revision == list.m_revision;
         if (isQuiet && wait > Duration::zero())
             return waitForChange(vm, call, wait);
-        const Duration way = wayOf(vm);
+        const Duration way = pathDelay(vm);
         if (m_agenda.now() + way - call.m_sentAt > call.m_timeout)
             return fail(vm, call, call.m_timeout);
         std::vector<UpstreamChange> changes;
@@ -191,7 +192,7 @@
         });
     }
 
-    void waitForChange(NewsVm &vm, const StoreCall &call, Duration wait)
+    void waitForChange(SimulatedVm &vm, const StoreCall &call, Duration wait)
     {
         const auto isAnswered = std::make_shared<bool>(false);
         const auto again = [this, &vm, call, isAnswered] {
@@ -205,20 +206,20 @@
         });
     }
 
-    void failed(NewsVm &vm, ReadFailure failure)
+    void failed(SimulatedVm &vm, ReadFailure failure)
     {
         vm.m_following->noteFailed(failure);
         if (failure == ReadFailure::Unanswered)
-            leftUnanswered(vm);
+            onUnanswered(vm);
         pause(vm);
     }
 
-    void pause(NewsVm &vm)
+    void pause(SimulatedVm &vm)
     {
         later(vm, vm.m_following->delayAfterRead(m_agenda.now()), [this, &vm] { follow(vm); });
     }
 
-    void tellLoop(NewsVm &vm)
+    void sendLoop(SimulatedVm &vm)
     {
         const TimePoint now = m_agenda.now();
         const UpdateState state{vm.m_following->feed().history().newest(), 0,
@@ -232,19 +233,19 @@
                     tell(vm, *other);
             }
         }
-        later(vm, UpdatePacing::tick, [this, &vm] { tellLoop(vm); });
+        later(vm, UpdatePacing::tick, [this, &vm] { sendLoop(vm); });
     }
 
-    void tell(NewsVm &reader, NewsVm &follower)
+    void tell(SimulatedVm &reader, SimulatedVm &follower)
     {
-        ToldNews &told = reader.m_told[&follower];
+        SentUpdate &told = reader.m_told[&follower];
         told.m_isBusy = true;
         const TimePoint now = m_agenda.now();
         const UpstreamListUpdate news = told.m_state.updateFor(reader.m_following->feed(), now);
         const Duration age = reader.m_following->age(now);
         const auto echo = reader.m_marks[&follower].echo(now);
         const auto receipt = std::make_shared<bool>(false);
-        const Duration way = wayOf(reader.m_isSlow ? reader : follower);
+        const Duration way = pathDelay(reader.m_isSlow ? reader : follower);
         const int life = reader.m_life;
         later(follower, way, [this, &reader, &follower, news, age, echo, receipt, now, life] {
             if (follower.m_isDead)
@@ -254,14 +255,14 @@
             const auto taking = follower.m_following->receiveUpdate(news, toldAge, takenAt);
             if (taking != UpstreamFeed::ApplyResult::ChangesMissing)
                 confirmed(follower);
-            const Duration back = wayOf(reader);
+            const Duration back = pathDelay(reader);
             if (reader.m_life != life || takenAt + back - now > UpdatePacing::receiptTimeout)
                 return;
             *receipt = true;
             const ClockMark mark{follower.m_life, takenAt};
             later(reader, back, [this, &reader, &follower, news, taking, mark] {
                 reader.m_marks[&follower].recordReceived(mark, m_agenda.now());
-                ToldNews &answered = reader.m_told[&follower];
+                SentUpdate &answered = reader.m_told[&follower];
                 answered.m_isBusy = false;
                 if (taking == UpstreamFeed::ApplyResult::ChangesMissing)
                     answered.m_state.onMissingChanges();
@@ -329,7 +330,7 @@
     void disturb()
     {
         const bool strikesReader = m_random(2) == 0;
-        NewsVm &vm = *m_vms[strikesReader ? drawReader() : m_random(m_vms.size())];
+        SimulatedVm &vm = *m_vms[strikesReader ? drawReader() : m_random(m_vms.size())];
         const Duration time = draw(std::chrono::seconds(6));
         switch (m_random(4)) {
         case 0:
@@ -358,7 +359,7 @@
         return m_playedDataCentres == 1 ? first : first + m_near * m_random(m_playedDataCentres);
     }
 
-    void trouble(NewsVm &vm, bool &flag, Duration time)
+    void trouble(SimulatedVm &vm, bool &flag, Duration time)
     {
         flag = true;
         vm.m_troubledAt = m_agenda.now();
@@ -368,7 +369,7 @@
         });
     }
 
-    void kill(NewsVm &vm, Duration time)
+    void kill(SimulatedVm &vm, Duration time)
     {
         if (vm.m_isDead)
             return;
@@ -383,14 +384,14 @@
     }
 
     EntryBounds m_bounds;
-    NewsTroubles m_troubles;
+    SimulatedFaults m_troubles;
     pcg32 m_random;
-    Agenda m_agenda;
+    EventQueue m_agenda;
     UpstreamStore m_store;
     /// Number of VMs of a data centre.
     std::size_t m_near;
     std::size_t m_playedDataCentres;
-    std::vector<std::unique_ptr<NewsVm>> m_vms;
+    std::vector<std::unique_ptr<SimulatedVm>> m_vms;
     bool m_isLarge = false;
     std::size_t m_nextUpstream = 0;
     int m_late = 0;
