--- a/src/ctl/admin_client.cpp
+++ b/src/ctl/admin_client.cpp
@@ -27,7 +27,7 @@
     if (!error)
         return false;
     if (error->m_id == ErrorId::NotFound)
-        return call.m_asksEachEntry;
+        return call.m_retriesNotFound;
     return error->m_id == ErrorId::NotReady || error->m_id == ErrorId::Draining;
 }
 
@@ -58,7 +58,7 @@
     request.m_connectTimeout = connectTimeout;
     request.m_headerTimeout = answerTimeout;
     request.m_silenceTimeout = answerTimeout;
-    request.m_requiresNewConnection = call.m_resend == Resend::IfUnread;
+    request.m_requiresNewConnection = call.m_resend == Resend::IfNothingSent;
     request.m_headers.add("Authorization", "Bearer " + m_credential);
     return m_transport(request);
 }
@@ -81,8 +81,8 @@
         const CallFailure &reason = std::get<CallFailure>(result);
         failure.m_text += failureLine(m_entries[index], reason);
         const bool mayHaveBeenRead = reason.m_phase != SendPhase::NothingSent;
-        if (mayHaveBeenRead && call.m_resend == Resend::IfUnread) {
-            failure.m_mayHaveActed = true;
+        if (mayHaveBeenRead && call.m_resend == Resend::IfNothingSent) {
+            failure.m_mayHaveTakenEffect = true;
             return failure;
         }
     }
--- a/src/ctl/admin_client.hpp
+++ b/src/ctl/admin_client.hpp
@@ -20,7 +20,7 @@
     /// The call is idempotent: it only reads, or a second run changes nothing.
     Always,
     /// The call writes: it is sent again only if no byte of it can have arrived.
-    IfUnread,
+    IfNothingSent,
 };
 
 struct AdminCall
@@ -30,7 +30,7 @@
     std::string m_body;
     Resend m_resend = Resend::Always;
     /// Whether "not found" makes the client try the next entry, which may know the object.
-    bool m_asksEachEntry = false;
+    bool m_retriesNotFound = false;
 };
 
 /// Reason for which no entry answered.
@@ -38,7 +38,7 @@
 {
     std::string m_text;
     /// Whether an entry may have read the call and acted on it.
-    bool m_mayHaveActed = false;
+    bool m_mayHaveTakenEffect = false;
 };
 
 using AdminResult = std::variant<HttpReply, AdminFailure>;
--- a/src/ctl/command.hpp
+++ b/src/ctl/command.hpp
@@ -14,10 +14,10 @@
 namespace gypsumdale::ctl {
 
 /// Functions of the operating system that the tool uses; tests replace them with fakes.
-struct Surroundings
+struct Environment
 {
     std::function<void(std::string_view)> m_print;
-    std::function<void(std::string_view)> m_complain;
+    std::function<void(std::string_view)> m_printError;
     std::function<Result<std::string>(const std::string &path)> m_readFile;
     std::function<std::string()> m_readInput;
     std::function<std::optional<std::string>(const std::string &name)> m_environment;
@@ -31,7 +31,7 @@
 struct Session
 {
     const Invocation &m_invocation;
-    const Surroundings &m_surroundings;
+    const Environment &m_surroundings;
     AdminClient m_client;
 };
 
@@ -60,8 +60,8 @@
     /// Rest of the help text, with examples.
     std::string_view m_help;
     std::vector<OptionGroup> m_options;
-    std::size_t m_leastWords = 0;
-    std::size_t m_mostWords = 0;
+    std::size_t m_minPositionals = 0;
+    std::size_t m_maxPositionals = 0;
     ExitCode (*m_run)(Session &session) = nullptr;
 
     bool takes(OptionGroup group) const;
@@ -74,7 +74,7 @@
 const Command *findCommand(std::string_view name);
 
 /// Parses and runs one command line.
-ExitCode runTool(const std::vector<std::string> &arguments, const Surroundings &surroundings);
+ExitCode runTool(const std::vector<std::string> &arguments, const Environment &surroundings);
 
 /// Prints why no entry answered, and returns the exit code.
 ExitCode complain(const Session &session, const AdminFailure &failure);
--- a/src/ctl/command_apply.cpp
+++ b/src/ctl/command_apply.cpp
@@ -37,7 +37,7 @@
         return complain(session, reply);
     if (auto current = readVersionedBody(reply))
         return std::move(*current);
-    session.m_surroundings.m_complain("gypsumctl: the answer has no version and body\n");
+    session.m_surroundings.m_printError("gypsumctl: the answer has no version and body\n");
     return ExitCode::Failed;
 }
 
@@ -92,7 +92,7 @@
 {
     return m_session.m_client.call(
             {"PUT", fmt::format("{}?version={}", targetOf(m_document), m_baseVersion),
-             m_document.m_body, Resend::IfUnread, false});
+             m_document.m_body, Resend::IfNothingSent, false});
 }
 
 ExitCode DocumentWrite::write()
@@ -110,7 +110,7 @@
 std::optional<ExitCode> DocumentWrite::handleResult(const AdminResult &result)
 {
     if (const auto *failure = std::get_if<AdminFailure>(&result)) {
-        if (failure->m_mayHaveActed)
+        if (failure->m_mayHaveTakenEffect)
             return std::nullopt;
         return complain(m_session, *failure);
     }
@@ -205,7 +205,7 @@
 
 void DocumentWrite::printMessage(std::string_view text) const
 {
-    m_session.m_surroundings.m_complain(
+    m_session.m_surroundings.m_printError(
             fmt::format("gypsumctl: {}: {}\n", m_document.title(), text));
 }
 
@@ -247,8 +247,9 @@
 {
     const DocumentFiles files = readDocumentFiles(session);
     if (containNodeSettings(files)) {
-        session.m_surroundings.m_complain("gypsumctl: node settings can't be applied: a node reads "
-                                          "its own file at startup\n");
+        session.m_surroundings.m_printError(
+                "gypsumctl: node settings can't be applied: a node reads "
+                "its own file at startup\n");
         return ExitCode::Usage;
     }
     if (files.m_code != ExitCode::Ok)
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -118,22 +118,22 @@
     const Command &command = *invocation.m_command;
     if (command.takes(OptionGroup::Document)) {
         // In "-f *.yaml" the shell makes all files but the first positional arguments.
-        invocation.m_files.insert(invocation.m_files.end(), invocation.m_words.begin(),
-                                  invocation.m_words.end());
-        invocation.m_words.clear();
+        invocation.m_files.insert(invocation.m_files.end(), invocation.m_positionals.begin(),
+                                  invocation.m_positionals.end());
+        invocation.m_positionals.clear();
         if (invocation.m_files.empty())
             return usageError(fmt::format("'{}' requires -f FILE", command.m_name));
         return invocation;
     }
-    if (!invocation.m_logs.empty() && invocation.m_words.size() > command.m_mostWords) {
+    if (!invocation.m_logs.empty() && invocation.m_positionals.size() > command.m_maxPositionals) {
         // In "--log *.log" the shell makes all files but the first positional arguments.
-        const auto rest =
-                invocation.m_words.begin() + static_cast<std::ptrdiff_t>(command.m_mostWords);
-        invocation.m_logs.insert(invocation.m_logs.end(), rest, invocation.m_words.end());
-        invocation.m_words.erase(rest, invocation.m_words.end());
+        const auto rest = invocation.m_positionals.begin()
+                          + static_cast<std::ptrdiff_t>(command.m_maxPositionals);
+        invocation.m_logs.insert(invocation.m_logs.end(), rest, invocation.m_positionals.end());
+        invocation.m_positionals.erase(rest, invocation.m_positionals.end());
     }
-    const std::size_t count = invocation.m_words.size();
-    if (count < command.m_leastWords || count > command.m_mostWords)
+    const std::size_t count = invocation.m_positionals.size();
+    if (count < command.m_minPositionals || count > command.m_maxPositionals)
         return usageError(fmt::format("usage: gypsumctl {}", command.m_usage));
     return invocation;
 }
@@ -152,7 +152,7 @@
         return usageError("--base-version must be the edited version, or 0 to create the object");
     Invocation invocation;
     invocation.m_command = &command;
-    invocation.m_words = std::move(words);
+    invocation.m_positionals = std::move(words);
     invocation.m_files = optionOr(parsed, "file", Texts());
     invocation.m_logs = optionOr(parsed, "log", Texts());
     invocation.m_entries = optionOr(parsed, "entry", Texts());
--- a/src/ctl/command_local.cpp
+++ b/src/ctl/command_local.cpp
@@ -27,7 +27,7 @@
 {
     const std::string bytes = session.m_surroundings.m_randomBytes(keyBytes);
     if (bytes.size() != keyBytes) {
-        session.m_surroundings.m_complain("gypsumctl: the system provides no random numbers\n");
+        session.m_surroundings.m_printError("gypsumctl: the system provides no random numbers\n");
         return ExitCode::Failed;
     }
     session.m_surroundings.m_print(fmt::format("{}{}\n", secretKeyPrefix, hexText(bytes)));
@@ -39,7 +39,7 @@
     const std::string input = session.m_surroundings.m_readInput();
     const std::string key = input.substr(0, input.find_first_of("\r\n"));
     if (key.size() < minKeyLength) {
-        session.m_surroundings.m_complain(
+        session.m_surroundings.m_printError(
                 fmt::format("gypsumctl: a key has at least {} characters; make one with "
                             "`gypsumctl keys new`\n",
                             minKeyLength));
@@ -53,12 +53,12 @@
 
 ExitCode runKeys(Session &session)
 {
-    const std::string &action = session.m_invocation.m_words[0];
+    const std::string &action = session.m_invocation.m_positionals[0];
     if (action == "new")
         return printNewKey(session);
     if (action == "hash")
         return printKeyHash(session);
-    session.m_surroundings.m_complain("gypsumctl: usage: gypsumctl keys new|hash\n");
+    session.m_surroundings.m_printError("gypsumctl: usage: gypsumctl keys new|hash\n");
     return ExitCode::Usage;
 }
 
--- a/src/ctl/command_logs.cpp
+++ b/src/ctl/command_logs.cpp
@@ -23,7 +23,7 @@
 /// Reads all logs of the command line. Prints an error and returns false if one can't be read.
 bool readLogs(const Session &session, LogHistory &history)
 {
-    const Surroundings &surroundings = session.m_surroundings;
+    const Environment &surroundings = session.m_surroundings;
     for (const std::string &path : session.m_invocation.m_logs) {
         if (path == standardInputName) {
             history.add(surroundings.m_readInput());
@@ -31,7 +31,8 @@
         }
         const Result<std::string> text = surroundings.m_readFile(path);
         if (!succeeded(text)) {
-            surroundings.m_complain(fmt::format("gypsumctl: {}: {}\n", path, errorOf(text).m_text));
+            surroundings.m_printError(
+                    fmt::format("gypsumctl: {}: {}\n", path, errorOf(text).m_text));
             return false;
         }
         history.add(valueOf(text));
@@ -70,11 +71,11 @@
 void printNotes(const Session &session, const LogHistory &history)
 {
     for (const auto &[node, ahead] : history.clocksAhead())
-        session.m_surroundings.m_complain(
+        session.m_surroundings.m_printError(
                 fmt::format("gypsumctl: the clock of {} was taken to be {} ms {}\n",
                             printable(node), std::abs(ahead), ahead > 0 ? "ahead" : "behind"));
     if (history.unreadable() > 0)
-        session.m_surroundings.m_complain(
+        session.m_surroundings.m_printError(
                 fmt::format("gypsumctl: {} lines could not be read\n", history.unreadable()));
 }
 
@@ -82,10 +83,10 @@
 
 ExitCode runExplainFromLogs(Session &session)
 {
-    const auto &words = session.m_invocation.m_words;
+    const auto &words = session.m_invocation.m_positionals;
     const auto subject = valueIn(logSubjectNames, words[0]);
     if (!subject) {
-        session.m_surroundings.m_complain(
+        session.m_surroundings.m_printError(
                 "gypsumctl: explain --log requires request ID, upstream ID, config VERSION or "
                 "window NUMBER\n");
         return ExitCode::Usage;
@@ -96,8 +97,8 @@
     const std::vector<const LogLine *> lines = history.about(*subject, words[1]);
     printNotes(session, history);
     if (lines.empty()) {
-        session.m_surroundings.m_complain(fmt::format("gypsumctl: no log line mentions {} {}\n",
-                                                      words[0], printable(words[1])));
+        session.m_surroundings.m_printError(fmt::format("gypsumctl: no log line mentions {} {}\n",
+                                                        words[0], printable(words[1])));
         return ExitCode::NotFound;
     }
     printLines(session, lines);
--- a/src/ctl/command_show.cpp
+++ b/src/ctl/command_show.cpp
@@ -78,7 +78,7 @@
 
 ExitCode runGet(Session &session)
 {
-    const auto &words = session.m_invocation.m_words;
+    const auto &words = session.m_invocation.m_positionals;
     if (words.size() < 2)
         return showObjects(session, words.empty() ? std::string() : words[0]);
     const std::string target =
@@ -95,9 +95,9 @@
 {
     if (!session.m_invocation.m_logs.empty())
         return runExplainFromLogs(session);
-    const auto &words = session.m_invocation.m_words;
+    const auto &words = session.m_invocation.m_positionals;
     if (!decisionSubjectFrom(words[0])) {
-        session.m_surroundings.m_complain(
+        session.m_surroundings.m_printError(
                 "gypsumctl: usage: gypsumctl explain request|upstream ID\n");
         return ExitCode::Usage;
     }
@@ -108,9 +108,9 @@
 
 ExitCode runDrain(Session &session)
 {
-    const auto &words = session.m_invocation.m_words;
+    const auto &words = session.m_invocation.m_positionals;
     if (words[0] != "upstream" && words[0] != "node") {
-        session.m_surroundings.m_complain("gypsumctl: usage: gypsumctl drain upstream|node ID\n");
+        session.m_surroundings.m_printError("gypsumctl: usage: gypsumctl drain upstream|node ID\n");
         return ExitCode::Usage;
     }
     // Draining is idempotent, so the call may be sent again. Only the node itself accepts the order
--- a/src/ctl/command_watch.cpp
+++ b/src/ctl/command_watch.cpp
@@ -29,8 +29,8 @@
 
 ExitCode runWatch(Session &session)
 {
-    const Surroundings &surroundings = session.m_surroundings;
-    const auto &words = session.m_invocation.m_words;
+    const Environment &surroundings = session.m_surroundings;
+    const auto &words = session.m_invocation.m_positionals;
     const std::string target = objectTarget("rollout", words[0], words[1]);
     const Duration limit = session.m_invocation.m_timeout;
     const TimePoint end = surroundings.m_now() + limit;
--- a/src/ctl/document_files.cpp
+++ b/src/ctl/document_files.cpp
@@ -44,7 +44,7 @@
 void printFindings(const Session &session, const Findings &findings)
 {
     for (const Finding &finding : findings)
-        session.m_surroundings.m_complain(printable(toLine(finding)) + '\n');
+        session.m_surroundings.m_printError(printable(toLine(finding)) + '\n');
 }
 
 } // namespace gypsumdale::ctl
--- a/src/ctl/invocation.hpp
+++ b/src/ctl/invocation.hpp
@@ -20,7 +20,7 @@
     /// Help or version text to print instead of running a command.
     std::string m_text;
     /// Positional arguments after the command name.
-    std::vector<std::string> m_words;
+    std::vector<std::string> m_positionals;
     std::vector<std::string> m_files;
     /// Log files to read instead of querying a node.
     std::vector<std::string> m_logs;
--- a/src/ctl/program/main.cpp
+++ b/src/ctl/program/main.cpp
@@ -51,11 +51,11 @@
     std::fflush(stdout);
 }
 
-ctl::Surroundings makeSurroundings(const Clock &clock, HttpClient &client)
+ctl::Environment makeSurroundings(const Clock &clock, HttpClient &client)
 {
-    ctl::Surroundings surroundings;
+    ctl::Environment surroundings;
     surroundings.m_print = print;
-    surroundings.m_complain = [](std::string_view text) {
+    surroundings.m_printError = [](std::string_view text) {
         fmt::print(stderr, "{}", text);
     };
     surroundings.m_readFile = readFile;
--- a/src/ctl/rollout.cpp
+++ b/src/ctl/rollout.cpp
@@ -45,7 +45,7 @@
 
 ExitCode waitForRollout(Session &session, const Document &document, std::int64_t version)
 {
-    const Surroundings &surroundings = session.m_surroundings;
+    const Environment &surroundings = session.m_surroundings;
     const TimePoint end = surroundings.m_now() + session.m_invocation.m_timeout;
     const std::string target =
             objectTarget("rollout", nameIn(documentKindNames, document.m_kind), document.m_name);
@@ -65,9 +65,10 @@
             break;
         surroundings.m_pause(pollInterval);
     }
-    surroundings.m_complain(fmt::format("gypsumctl: {} version {} is accepted but not yet in force "
-                                        "everywhere\n{}",
-                                        document.title(), version, lastRollout));
+    surroundings.m_printError(
+            fmt::format("gypsumctl: {} version {} is accepted but not yet in force "
+                        "everywhere\n{}",
+                        document.title(), version, lastRollout));
     return ExitCode::Timeout;
 }
 
--- a/src/ctl/run_tool.cpp
+++ b/src/ctl/run_tool.cpp
@@ -39,7 +39,7 @@
 }
 
 Result<std::vector<Endpoint>> readEntries(const Invocation &invocation,
-                                          const Surroundings &surroundings)
+                                          const Environment &surroundings)
 {
     std::vector<std::string> texts = invocation.m_entries;
     if (texts.empty())
@@ -58,7 +58,7 @@
     return entries;
 }
 
-Result<std::string> readCredential(const Invocation &invocation, const Surroundings &surroundings)
+Result<std::string> readCredential(const Invocation &invocation, const Environment &surroundings)
 {
     if (!invocation.m_keyFile.empty()) {
         Result<std::string> content = surroundings.m_readFile(invocation.m_keyFile);
@@ -80,7 +80,7 @@
     return printable(credential) == credential;
 }
 
-Result<AdminClient> makeClient(const Invocation &invocation, const Surroundings &surroundings)
+Result<AdminClient> makeClient(const Invocation &invocation, const Environment &surroundings)
 {
     const bool needsNoEntry =
             !invocation.m_command->takes(OptionGroup::Entry) || !invocation.m_logs.empty();
@@ -98,15 +98,15 @@
                        surroundings.m_transport);
 }
 
-ExitCode failUsage(const Surroundings &surroundings, const Error &error)
+ExitCode failUsage(const Environment &surroundings, const Error &error)
 {
-    surroundings.m_complain(fmt::format("gypsumctl: {}\n", printable(error.m_text)));
+    surroundings.m_printError(fmt::format("gypsumctl: {}\n", printable(error.m_text)));
     return ExitCode::Usage;
 }
 
 } // namespace
 
-ExitCode runTool(const std::vector<std::string> &arguments, const Surroundings &surroundings)
+ExitCode runTool(const std::vector<std::string> &arguments, const Environment &surroundings)
 {
     const Result<Invocation> read = readCommandLine(arguments);
     if (!succeeded(read))
@@ -125,14 +125,14 @@
 
 ExitCode complain(const Session &session, const AdminFailure &failure)
 {
-    session.m_surroundings.m_complain(
+    session.m_surroundings.m_printError(
             fmt::format("gypsumctl: no entry VM answered\n{}", failure.m_text));
     return ExitCode::Unreachable;
 }
 
 ExitCode complain(const Session &session, const HttpReply &reply)
 {
-    session.m_surroundings.m_complain(fmt::format(
+    session.m_surroundings.m_printError(fmt::format(
             "gypsumctl: {} answered {}\n", session.m_client.currentEntry(), errorText(reply)));
     return exitCodeFor(reply);
 }
--- a/tests/src/unit-ctl.cpp
+++ b/tests/src/unit-ctl.cpp
@@ -58,11 +58,11 @@
 {
     ExitCode run(const std::vector<std::string> &arguments)
     {
-        Surroundings surroundings;
+        Environment surroundings;
         surroundings.m_print = [this](std::string_view text) {
             m_out += text;
         };
-        surroundings.m_complain = [this](std::string_view text) {
+        surroundings.m_printError = [this](std::string_view text) {
             m_errors += text;
         };
         surroundings.m_readFile = [this](const std::string &path) -> Result<std::string> {
